--- a/crates/sesamecart-entry/src/exchange.rs
+++ b/crates/sesamecart-entry/src/exchange.rs
@@ -1,9 +1,10 @@
-//! Nodes tell each other what they have at the heads of groups.
+//! Exchange of load information between entry nodes.
 //!
-//! It answers many nodes that choose among the same heads: each sees its own requests, and hears of the
-//! others' only when a head answers it. A prompt that another node has just sent is invisible, and two of
-//! them at one head make the second caller wait while another head reads nothing. What a node has is
-//! told at once, or soon after; docs/decisions-under-faults.md has what that is worth.
+//! Many nodes choose among the same group heads. A node knows its own requests, but learns of the requests of
+//! other nodes only when a head responds to it. Without an exchange it can't see a prompt that another node
+//! has just sent: two prompts then meet at one head, and the second caller waits while another head is idle.
+//! Each node therefore sends its in-flight load to its peers at once or shortly after a change.
+//! docs/decisions-under-faults.md describes the effect.
 
 mod changes;
 
@@ -23,103 +24,114 @@
 pub(crate) use crate::exchange::changes::{Changes, changes};
 use crate::follower::millis;
 
-const MILLIS: f64 = 1_000.0;
+const MILLI_GROUPS_PER_GROUP: f64 = 1_000.0;
 
-/// How long a node may say nothing before what it said counts no more: two such messages may be late.
-const SILENT_MOST: Duration = Duration::from_millis(1_200);
+/// How long a peer may send nothing before its loads are discarded. This tolerates two late keepalive
+/// messages.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// The rest before a node that couldn't be heard is asked again.
-const REST: Duration = Duration::from_millis(700);
+/// The delay before reconnecting to a peer whose stream failed.
+const RECONNECT_DELAY: Duration = Duration::from_millis(700);
 
-/// How long a watched node tells nothing before it is taken for gone, as a process is back within a second
-/// or two of its end.
-const GONE_AFTER: Duration = Duration::from_secs(3);
+/// How long a watched peer may send nothing before it counts as gone. A restarted process is back within one
+/// to two seconds.
+const PEER_GONE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How often it is looked up which nodes there are.
-const NODES_EVERY: Duration = Duration::from_millis(500);
+/// How often the list of nodes is read again.
+const NODES_REFRESH_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Reads what another node's callers ask; models whose names can't be read aren't served by anybody.
-fn read_demand(demand: &[ModelDemand]) -> Demand {
-    let models = demand.iter().filter_map(|asked| {
-        let model = asked.model.parse().ok()?;
-        Some((model, f64::from(asked.milli_groups) / MILLIS))
+/// Parses the demand of a peer's callers. Models with invalid names are skipped, because no node serves them.
+fn parse_demand(demand: &[ModelDemand]) -> Demand {
+    let models = demand.iter().filter_map(|entry| {
+        let model = entry.model.parse().ok()?;
+        Some((
+            model,
+            f64::from(entry.milli_groups) / MILLI_GROUPS_PER_GROUP,
+        ))
     });
     models.collect()
 }
 
-/// Watches the loads of other nodes until the task is cancelled.
+/// Watches the loads of peer nodes until the task is cancelled.
 pub(crate) async fn watch_peers(beliefs: Arc<Beliefs>, links: Links, tasks: Tasks) {
-    let mut watched = Watched::default();
+    let mut watched = WatchedPeers::default();
     loop {
         let nodes = beliefs.nodes.load_full();
         let gone = watched.gone(&beliefs);
         let others = nodes.len().saturating_sub(1 + gone.len());
         beliefs.loads().set_others(others);
         for peer in peers_to_watch(&beliefs.settings.node, &nodes, &gone) {
-            // Another one may come nearer later on; those that are watched by then stay.
-            let is_free = watched.0.len() < MAX_WATCHED_PEERS + gone.len();
-            if is_free && !watched.0.contains_key(&peer.node) {
+            // A node that is added later may be nearer; peers that are already watched stay watched.
+            let has_capacity = watched.0.len() < MAX_WATCHED_PEERS + gone.len();
+            if has_capacity && !watched.0.contains_key(&peer.node) {
                 watched.0.insert(peer.node.clone(), clock::now());
-                tasks.spawn(watch(Arc::clone(&beliefs), links.clone(), peer.clone()));
+                tasks.spawn(watch_peer(
+                    Arc::clone(&beliefs),
+                    links.clone(),
+                    peer.clone(),
+                ));
             }
         }
-        sleep(NODES_EVERY).await;
+        sleep(NODES_REFRESH_INTERVAL).await;
     }
 }
 
-/// The nodes that are watched, and when each was last known to tell its loads.
+/// The watched peers, and when each was last known to report its loads.
 #[derive(Default)]
-struct Watched(IndexMap<NodeId, Timestamp>);
+struct WatchedPeers(IndexMap<NodeId, Timestamp>);
 
-impl Watched {
-    /// Returns the nodes that have told nothing for long.
+impl WatchedPeers {
+    /// Returns the peers that haven't reported for longer than `PEER_GONE_TIMEOUT`.
     ///
-    /// The list of nodes keeps those that were replaced. Taken for nodes that can't be heard, each would
-    /// add its share to what is guessed at every head, and callers would be refused with slots free.
+    /// The list of nodes also contains nodes that were replaced. If these counted as unreachable peers, each
+    /// would add its share to the estimated load of every head, and callers would be refused while slots are
+    /// free.
     fn gone(&mut self, beliefs: &Beliefs) -> IndexSet<NodeId> {
         let now = clock::now();
         let loads = beliefs.loads();
-        for (node, told_at) in &mut self.0 {
+        for (node, last_reported_at) in &mut self.0 {
             if loads.is_reporting(node) {
-                *told_at = now;
+                *last_reported_at = now;
             }
         }
         let gone = self.0.iter();
-        let gone = gone.filter(|(_, told_at)| now.since(**told_at) > GONE_AFTER);
+        let gone =
+            gone.filter(|(_, last_reported_at)| now.since(**last_reported_at) > PEER_GONE_TIMEOUT);
         gone.map(|(node, _)| node.clone()).collect()
     }
 }
 
-async fn watch(beliefs: Arc<Beliefs>, links: Links, peer: PeerNode) {
-    let mut hearing = Hearing::new(&peer.node);
+/// Watches the loads of one peer and reconnects whenever the stream ends.
+async fn watch_peer(beliefs: Arc<Beliefs>, links: Links, peer: PeerNode) {
+    let mut reachability = PeerReachability::new(&peer.node);
     loop {
-        let ended = hear(&beliefs, &links, &peer, &mut hearing).await;
+        let cause = receive_loads(&beliefs, &links, &peer, &mut reachability).await;
         beliefs.loads().drop_peer(&peer.node);
         beliefs.demand().drop_peer(&peer.node);
-        hearing.ended(&beliefs, &ended);
-        sleep(REST).await;
+        reachability.mark_lost(&beliefs, &cause);
+        sleep(RECONNECT_DELAY).await;
     }
 }
 
-/// Whether a node can be heard; its loss and return are logged once each.
-struct Hearing {
+/// Whether the loads of a peer can be received. Each loss and each recovery is logged once.
+struct PeerReachability {
     dependency: String,
-    /// When it couldn't be heard any more; nothing while it can, and before it ever could.
+    /// When the stream was lost; `None` while it is up and before it was up for the first time.
     lost_at: Option<Timestamp>,
-    was_heard: bool,
+    was_reachable: bool,
 }
 
-impl Hearing {
+impl PeerReachability {
     fn new(node: &NodeId) -> Self {
         Self {
             dependency: format!("loads of {node}"),
             lost_at: None,
-            was_heard: false,
+            was_reachable: false,
         }
     }
 
-    fn begun(&mut self, beliefs: &Beliefs) {
-        self.was_heard = true;
+    fn mark_reachable(&mut self, beliefs: &Beliefs) {
+        self.was_reachable = true;
         let Some(lost_at) = self.lost_at.take() else {
             return;
         };
@@ -129,8 +141,8 @@
         });
     }
 
-    fn ended(&mut self, beliefs: &Beliefs, cause: &str) {
-        if !self.was_heard || self.lost_at.is_some() {
+    fn mark_lost(&mut self, beliefs: &Beliefs, cause: &str) {
+        if !self.was_reachable || self.lost_at.is_some() {
             return;
         }
         self.lost_at = Some(clock::now());
@@ -141,8 +153,13 @@
     }
 }
 
-/// Hears a node's loads; returns why it can't be heard any more.
-async fn hear(beliefs: &Beliefs, links: &Links, peer: &PeerNode, hearing: &mut Hearing) -> String {
+/// Receives a peer's loads until the stream fails; returns the cause.
+async fn receive_loads(
+    beliefs: &Beliefs,
+    links: &Links,
+    peer: &PeerNode,
+    reachability: &mut PeerReachability,
+) -> String {
     let mut feed = links.feed_of(peer.links);
     let mut changes = match feed.watch_loads(WatchLoadsRequest {}).await {
         Ok(response) => response.into_inner(),
@@ -150,15 +167,15 @@
     };
     let mut endpoints: Vec<EndpointId> = Vec::new();
     loop {
-        let next = match within(SILENT_MOST, changes.message()).await {
+        let next = match within(SILENCE_TIMEOUT, changes.message()).await {
             Ok(Ok(Some(next))) => next,
             Ok(Ok(None)) => return "the stream ended".to_owned(),
             Ok(Err(status)) => return status.to_string(),
             Err(elapsed) => return elapsed.to_string(),
         };
-        hearing.begun(beliefs);
+        reachability.mark_reachable(beliefs);
         if !next.demand.is_empty() {
-            let demand = read_demand(&next.demand);
+            let demand = parse_demand(&next.demand);
             let now = clock::now();
             beliefs.demand().apply_peer_demand(now, &peer.node, demand);
         }
@@ -168,11 +185,11 @@
             if !head.endpoint.is_empty() {
                 match head.endpoint.parse() {
                     Ok(id) => endpoints.push(id),
-                    Err(_) => return "an endpoint's name can't be read".to_owned(),
+                    Err(_) => return "an endpoint's id is invalid".to_owned(),
                 }
             }
             let Some(id) = endpoints.get(head.number as usize) else {
-                return "an endpoint's number wasn't given".to_owned();
+                return "an endpoint's number is unknown".to_owned();
             };
             let load = NodeLoad {
                 in_flight: head.in_flight,
--- a/crates/sesamecart-entry/src/exchange/changes.rs
+++ b/crates/sesamecart-entry/src/exchange/changes.rs
@@ -1,4 +1,4 @@
-//! What a node tells those that watch its loads.
+//! The stream of load changes that a node sends to the peers that watch it.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -13,33 +13,33 @@
 use sesamecart_runtime::sleep;
 use sesamecart_vocabulary::{EndpointId, Timestamp};
 
-use super::MILLIS;
+use super::MILLI_GROUPS_PER_GROUP;
 use crate::beliefs::Beliefs;
 use crate::clock;
 use crate::follower::millis;
 
-/// How long after a message changes are gathered for the next one: a tenth of a pass of an engine, so that
-/// what is told is still true, and one message for all that changes meanwhile.
-const GATHERED: Duration = Duration::from_millis(10);
+/// How long changes are batched before the next message is sent. This is a tenth of an engine's forward pass,
+/// so the loads are still current when they arrive, and all changes in that time share one message.
+const BATCH_DELAY: Duration = Duration::from_millis(10);
 
-/// How often a node that has no changes says so.
-const ALIVE_EVERY: Duration = Duration::from_millis(400);
+/// How often a node without changes sends an empty message as a keepalive.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(400);
 
-/// How often a node says what its callers ask of each model, beside its loads.
-const DEMAND_EVERY: Duration = Duration::from_millis(500);
+/// How often a node sends its callers' demand for each model along with its loads.
+const DEMAND_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The changes of this node's loads, for one that watches them.
+/// The stream of this node's load changes for one watching peer.
 pub(crate) type Changes = Pin<Box<dyn Stream<Item = Result<LoadChanges, Status>> + Send>>;
 
-/// Returns the changes of this node's loads as they come about.
+/// Returns the changes of this node's loads as they occur.
 pub(crate) fn changes(beliefs: Arc<Beliefs>) -> Changes {
-    let state = (beliefs, Sent::default());
+    let state = (beliefs, SentState::default());
     let changes = stream::unfold(state, |(beliefs, mut sent)| async move {
-        sleep(GATHERED).await;
+        sleep(BATCH_DELAY).await;
         let changed = beliefs.loads_changed.listen();
         let mut next = sent.changes(&beliefs);
         if next.heads.is_empty() && next.demand.is_empty() {
-            future::or(changed, sleep(ALIVE_EVERY)).await;
+            future::or(changed, sleep(KEEPALIVE_INTERVAL)).await;
             next = sent.changes(&beliefs);
         }
         Some((Ok(next), (beliefs, sent)))
@@ -47,32 +47,32 @@
     Box::pin(changes)
 }
 
-/// What was last sent of one endpoint.
+/// What was last sent for one endpoint.
 #[derive(Clone, Copy, Debug, Default)]
-struct SentHead {
+struct SentLoad {
     load: NodeLoad,
     reported_at: Timestamp,
 }
 
-/// What has been sent on one stream; an endpoint's number is its place.
+/// What has been sent on one stream. An endpoint's number is its index in `heads`.
 #[derive(Debug, Default)]
-struct Sent {
-    heads: IndexMap<EndpointId, SentHead>,
-    demand_at: Timestamp,
+struct SentState {
+    heads: IndexMap<EndpointId, SentLoad>,
+    demand_sent_at: Timestamp,
 }
 
-impl Sent {
+impl SentState {
     /// Returns what has changed since the last call.
     fn changes(&mut self, beliefs: &Beliefs) -> LoadChanges {
         LoadChanges {
-            heads: self.heads(beliefs),
-            demand: self.demand(beliefs),
+            heads: self.changed_heads(beliefs),
+            demand: self.due_demand(beliefs),
         }
     }
 
-    fn heads(&mut self, beliefs: &Beliefs) -> Vec<HeadLoad> {
+    fn changed_heads(&mut self, beliefs: &Beliefs) -> Vec<HeadLoad> {
         let now = clock::now();
-        let current = Current::of(beliefs);
+        let current = CurrentLoads::snapshot(beliefs);
         let known = self
             .heads
             .keys()
@@ -85,7 +85,7 @@
             let (number, is_new) = match self.heads.get_index_of(id) {
                 Some(number) => (number, false),
                 None => (
-                    self.heads.insert_full(id.clone(), SentHead::default()).0,
+                    self.heads.insert_full(id.clone(), SentLoad::default()).0,
                     true,
                 ),
             };
@@ -112,30 +112,30 @@
         changed
     }
 
-    /// Returns what this node's callers ask, when it is time to say so again.
-    fn demand(&mut self, beliefs: &Beliefs) -> Vec<ModelDemand> {
+    /// Returns the demand of this node's callers if `DEMAND_INTERVAL` has passed since it was last sent.
+    fn due_demand(&mut self, beliefs: &Beliefs) -> Vec<ModelDemand> {
         let now = clock::now();
-        if now.since(self.demand_at) < DEMAND_EVERY {
+        if now.since(self.demand_sent_at) < DEMAND_INTERVAL {
             return Vec::new();
         }
-        self.demand_at = now;
+        self.demand_sent_at = now;
         let demand = beliefs.demand().own(now);
         let models = demand.iter().map(|(model, groups)| ModelDemand {
             model: model.to_string(),
-            milli_groups: (groups * MILLIS).round() as u32,
+            milli_groups: (groups * MILLI_GROUPS_PER_GROUP).round() as u32,
         });
         models.collect()
     }
 }
 
-/// What this node has at the heads of groups, and what they said of their load.
-struct Current {
+/// This node's load at the heads of groups, and the loads that these heads reported.
+struct CurrentLoads {
     loads: IndexMap<EndpointId, NodeLoad>,
     reports: IndexMap<EndpointId, (LoadReport, Timestamp)>,
 }
 
-impl Current {
-    fn of(beliefs: &Beliefs) -> Self {
+impl CurrentLoads {
+    fn snapshot(beliefs: &Beliefs) -> Self {
         let directory = beliefs.directory.load();
         let loads = beliefs.loads();
         let own = loads.own().filter(|(id, _)| is_in_group(&directory, id));
