--- a/crates/sesamecart-entry/src/traffic.rs
+++ b/crates/sesamecart-entry/src/traffic.rs
@@ -1,15 +1,15 @@
-//! The traffic thread: it takes callers' requests, chooses endpoints and passes on answers.
+//! The traffic thread: accepts callers' requests, selects endpoints and forwards their responses.
 
-mod answer;
 mod call;
-mod events;
-mod flight;
+mod demand;
+mod event_splitter;
 mod handler;
-mod placing;
+mod in_flight;
+mod placement;
 mod refusal;
 mod relay;
-mod waiting;
-mod work;
+mod response;
+mod timeout;
 
 use std::net::TcpListener;
 use std::sync::Arc;
@@ -21,64 +21,73 @@
 use crate::beliefs::Beliefs;
 use crate::traffic::handler::Handler;
 
-/// How long a connection to an endpoint may take to open.
+/// How long opening a connection to an endpoint may take.
 ///
-/// An endpoint whose VM is gone answers nothing, and the caller waits meanwhile; the longest way there and
-/// back takes a few milliseconds.
-const CONNECT_LIMIT: Duration = Duration::from_millis(80);
+/// An endpoint whose VM is gone doesn't respond at all, and the caller waits meanwhile. The longest network
+/// round trip takes a few milliseconds.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(80);
 
-/// Connections of callers at once; 200 of a VM's 4,100 descriptors are kept for files, and each
-/// request needs one to an endpoint besides its caller's.
+/// The maximum number of open connections from callers.
+///
+/// A VM has 4,100 file descriptors, of which 200 are reserved for files. Each request needs one for its
+/// caller and one for an endpoint.
 const MAX_CONNECTIONS: usize = 1_900;
 
-/// How long a caller's connection may be idle before any configuration says so.
-const FIRST_IDLE_TIME: Duration = Duration::from_secs(15);
+/// How long a caller's connection may be idle until a configuration sets the limit.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// The largest head that is read; a configuration may set less.
+/// The maximum size of a request head; a configuration may set a lower limit.
 const MAX_HEAD_BYTES: usize = 32 * 1024;
 
 /// Starts the traffic thread.
 pub(crate) fn start(
     beliefs: &Arc<Beliefs>,
-    callers: TcpListener,
+    listener: TcpListener,
     leaving: &Signal,
 ) -> std::io::Result<Worker> {
     let worker = Worker::start("traffic")?;
     let tasks = worker.tasks().clone();
-    let client = HttpClient::new(tasks.clone(), CONNECT_LIMIT);
+    let client = HttpClient::new(tasks.clone(), CONNECT_TIMEOUT);
     let handler = Handler::new(Arc::clone(beliefs), client);
     let connections = beliefs.connections.clone();
     let leaving = leaving.clone();
     let limits = {
         let beliefs = Arc::clone(beliefs);
-        move || limits(&beliefs)
+        move || server_limits(&beliefs)
     };
     tasks.spawn({
         let tasks = tasks.clone();
         async move {
             let handle = move |req, _peer| {
                 let handler = handler.clone();
-                async move { handler.answer(req).await }
+                async move { handler.handle(req).await }
             };
-            let served =
-                sesamecart_edges::serve(callers, None, limits, tasks, connections, leaving, handle);
-            if let Err(error) = served.await {
-                log::error!("traffic: can't take callers: {error}.");
+            let server = sesamecart_edges::serve(
+                listener,
+                None,
+                limits,
+                tasks,
+                connections,
+                leaving,
+                handle,
+            );
+            if let Err(error) = server.await {
+                log::error!("traffic: can't accept connections from callers: {error}.");
             }
         }
     });
     Ok(worker)
 }
 
-/// Returns the bounds of a connection that is taken now.
-fn limits(beliefs: &Beliefs) -> ServerLimits {
-    let idle = match &*beliefs.catalog.load() {
+/// Returns the limits for a connection that is accepted now.
+fn server_limits(beliefs: &Beliefs) -> ServerLimits {
+    let idle_timeout = match &*beliefs.catalog.load() {
         Some(catalog) => catalog.limits.idle_time.max(catalog.limits.header_time),
-        None => FIRST_IDLE_TIME,
+        None => DEFAULT_IDLE_TIMEOUT,
     };
     ServerLimits {
         max_connections: MAX_CONNECTIONS,
-        head_limit: idle,
+        head_limit: idle_timeout,
         max_head_bytes: MAX_HEAD_BYTES,
     }
 }
--- a/crates/sesamecart-entry/src/traffic/call.rs
+++ b/crates/sesamecart-entry/src/traffic/call.rs
@@ -1,4 +1,4 @@
-//! One caller's request, with all that a further attempt of it needs.
+//! One caller's request, with the state needed to retry it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,18 +16,18 @@
 use crate::clock;
 use crate::events::Event;
 use crate::follower::millis;
-use crate::traffic::flight::Flight;
-use crate::traffic::placing::{ColdEndpoints, Placed};
+use crate::traffic::in_flight::InFlightRequest;
+use crate::traffic::placement::{ColdEndpointPolicy, Placement};
 use crate::traffic::refusal::Refusal;
 
 #[cfg(test)]
 mod tests;
 
-/// Attempts that may be rejected or lost before one request is given up, besides those that its
-/// route allows to run.
-const SPARE_ATTEMPTS: u32 = 2;
+/// The number of attempts beyond the route's `max_attempts` that a request may make when endpoints reject it
+/// or fail before they run it.
+const MAX_EXTRA_ATTEMPTS: u32 = 2;
 
-/// A request that has been read whole, and the route that it takes.
+/// A request whose body has been read completely, with its route.
 #[derive(Debug)]
 pub(crate) struct Call {
     pub(crate) beliefs: Arc<Beliefs>,
@@ -35,13 +35,13 @@
     pub(crate) catalog: Arc<Catalog>,
     pub(crate) route: Arc<PathRoute>,
     pub(crate) customer: Option<Arc<Customer>>,
-    pub(crate) asked: Asked,
+    pub(crate) metadata: Asked,
     pub(crate) head: Parts,
     pub(crate) body: Bytes,
-    pub(crate) arrived: Timestamp,
+    pub(crate) arrived_at: Timestamp,
 }
 
-/// The attempts of one request so far.
+/// The attempts made so far for one request.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Attempts {
     pub(crate) made: u32,
@@ -49,95 +49,104 @@
     pub(crate) tried: Vec<EndpointId>,
 }
 
-/// An endpoint's answer whose head has arrived.
+/// An endpoint's response after its head has arrived.
 #[derive(Debug)]
-pub(crate) struct Answered {
+pub(crate) struct EndpointResponse {
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Incoming,
     pub(crate) lease: ConnectionLease,
-    pub(crate) flight: Flight,
+    pub(crate) in_flight: InFlightRequest,
 }
 
 /// Why an attempt failed.
 #[derive(Debug)]
-pub(super) struct Failed {
+pub(super) struct AttemptError {
     pub(super) cause: String,
     pub(super) may_have_run: bool,
 }
 
 impl Attempts {
-    /// Notes that an attempt whose head had come failed later.
-    pub(crate) fn note_broken(&mut self, endpoint: EndpointId) {
+    /// Records an attempt that failed after the head of its response had arrived.
+    pub(crate) fn record_incomplete(&mut self, endpoint: EndpointId) {
         self.may_have_run += 1;
         self.tried.push(endpoint);
     }
 
-    fn note(&mut self, endpoint: EndpointId, failed: &Failed) {
-        self.may_have_run += u32::from(failed.may_have_run);
+    /// Records an attempt that failed before the head of its response arrived.
+    fn record_error(&mut self, endpoint: EndpointId, error: &AttemptError) {
+        self.may_have_run += u32::from(error.may_have_run);
         self.tried.push(endpoint);
     }
 }
 
 impl Call {
-    pub(crate) fn after(&self) -> Duration {
-        clock::now().since(self.arrived)
+    /// Returns the time since the request arrived.
+    pub(crate) fn elapsed(&self) -> Duration {
+        clock::now().since(self.arrived_at)
     }
 
-    /// Returns what is left of the time that the caller waits or the operator allows.
-    pub(crate) fn left(&self) -> Duration {
-        let limit = match (self.asked.timeout, self.route.time_limit) {
+    /// Returns the time left until the caller's timeout or the route's time limit, whichever comes first.
+    pub(crate) fn time_left(&self) -> Duration {
+        let limit = match (self.metadata.timeout, self.route.time_limit) {
             (Some(timeout), Some(limit)) => timeout.min(limit),
             (Some(limit), None) | (None, Some(limit)) => limit,
             (None, None) => Duration::from_secs(60),
         };
-        limit.saturating_sub(self.after())
+        limit.saturating_sub(self.elapsed())
     }
 
-    /// Returns what is left of the time that the caller itself named.
-    pub(super) fn callers_left(&self) -> Duration {
-        left_of(self.asked.timeout, self.after(), self.left())
+    /// Returns the time left until the caller's own timeout, or `time_left` if the caller set none.
+    pub(super) fn caller_time_left(&self) -> Duration {
+        remaining_caller_time(self.metadata.timeout, self.elapsed(), self.time_left())
     }
 
-    /// Tries endpoints until one answers.
+    /// Sends the request to one endpoint after another until one responds.
     ///
     /// A request that may have run and must not run twice isn't sent again.
-    pub(crate) async fn attempt(
+    ///
+    /// # Errors
+    ///
+    /// Returns the refusal for the caller if no endpoint responded and no further attempt is allowed.
+    pub(crate) async fn send_with_retries(
         &self,
         attempts: &mut Attempts,
         last_event: Option<&str>,
-    ) -> Result<Answered, Refusal> {
-        let mut failed: Option<Failed> = None;
+    ) -> Result<EndpointResponse, Refusal> {
+        let mut last_error: Option<AttemptError> = None;
         loop {
-            if self.left().is_zero() {
-                return Err(self.give_up(failed, attempts, None));
+            if self.time_left().is_zero() {
+                return Err(self.final_refusal(last_error, attempts, None));
             }
-            let placed = match self.place(attempts, ColdEndpoints::WithinAllowance) {
-                Ok(placed) => placed,
-                Err(unavailable) => return Err(self.give_up(failed, attempts, Some(unavailable))),
+            let placement = match self.place(attempts, ColdEndpointPolicy::WithinBudget) {
+                Ok(placement) => placement,
+                Err(unavailable) => {
+                    return Err(self.final_refusal(last_error, attempts, Some(unavailable)));
+                }
             };
-            if attempts.made > 0 && !self.beliefs.try_withdraw_retry(&placed.service) {
-                let spent = Failed {
+            if attempts.made > 0 && !self.beliefs.try_withdraw_retry(&placement.service) {
+                let error = AttemptError {
                     cause: "the retry budget is spent".to_owned(),
                     may_have_run: attempts.may_have_run > 0,
                 };
-                return Err(self.give_up(Some(spent), attempts, None));
+                return Err(self.final_refusal(Some(error), attempts, None));
             }
             if attempts.made == 0 {
-                self.beliefs.deposit_retry(&placed.service);
-                self.note_placed(&placed);
+                self.beliefs.deposit_retry(&placement.service);
+                self.record_placement(&placement);
             }
-            let endpoint = placed.endpoint.id.clone();
-            match self.send(attempts, placed, last_event).await {
-                Ok(answered) => return Ok(answered),
-                Err(cause) => {
-                    self.note_failure(&endpoint, &cause);
-                    attempts.note(endpoint, &cause);
-                    let may_go_on = attempts.may_have_run == 0 || self.route.delivery.may_repeat();
-                    if !may_go_on || !self.has_attempts_left(attempts) {
-                        return Err(self.give_up(Some(cause), attempts, None));
+            let endpoint = placement.endpoint.id.clone();
+            match self.send_to(attempts, placement, last_event).await {
+                Ok(response) => return Ok(response),
+                Err(error) => {
+                    self.report_failure(&endpoint, &error);
+                    attempts.record_error(endpoint, &error);
+                    let is_repeatable =
+                        attempts.may_have_run == 0 || self.route.delivery.may_repeat();
+                    if !is_repeatable || !self.has_attempts_left(attempts) {
+                        return Err(self.final_refusal(Some(error), attempts, None));
                     }
-                    failed = Some(cause);
+                    last_error = Some(error);
                 }
             }
         }
@@ -145,102 +154,108 @@
 
     fn has_attempts_left(&self, attempts: &Attempts) -> bool {
         attempts.may_have_run < self.route.max_attempts
-            && attempts.made < self.route.max_attempts + SPARE_ATTEMPTS
+            && attempts.made < self.route.max_attempts + MAX_EXTRA_ATTEMPTS
     }
 
-    /// Chooses the answer when no attempt follows.
-    fn give_up(
+    /// Returns the refusal for a request that isn't attempted again.
+    fn final_refusal(
         &self,
-        failed: Option<Failed>,
+        error: Option<AttemptError>,
         attempts: &Attempts,
         unavailable: Option<Unavailable>,
     ) -> Refusal {
-        let ran = attempts.may_have_run > 0;
-        match (failed, unavailable) {
-            (Some(failed), _) if ran && self.left().is_zero() => {
-                log::debug!("traffic: {}: {}.", self.asked.id, failed.cause);
+        let may_have_run = attempts.may_have_run > 0;
+        match (error, unavailable) {
+            (Some(error), _) if may_have_run && self.time_left().is_zero() => {
+                log::debug!("traffic: {}: {}.", self.metadata.id, error.cause);
                 Refusal::TimedOut
             }
-            (Some(failed), _) if ran => Refusal::NoAnswer(failed.cause),
-            (Some(failed), None) => Refusal::NotRun(failed.cause),
+            (Some(error), _) if may_have_run => Refusal::IncompleteResponse(error.cause),
+            (Some(error), None) => Refusal::NotRun(error.cause),
             (_, Some(unavailable)) => Refusal::Unavailable(unavailable),
             (None, None) => Refusal::NotRun("its time ran out".to_owned()),
         }
     }
 
-    fn note_failure(&self, endpoint: &EndpointId, failed: &Failed) {
+    /// Counts a failed attempt in the metrics and writes it to the decision log.
+    fn report_failure(&self, endpoint: &EndpointId, error: &AttemptError) {
         self.beliefs
             .metrics
-            .count_failed_attempt(failed.may_have_run);
+            .count_failed_attempt(error.may_have_run);
         self.beliefs.events.write(&Event::AttemptFailed {
-            request: self.asked.id.as_str(),
+            request: self.metadata.id.as_str(),
             endpoint: endpoint.as_str(),
-            cause: &failed.cause,
-            may_have_run: failed.may_have_run,
-            after_ms: millis(self.after()),
+            cause: &error.cause,
+            may_have_run: error.may_have_run,
+            after_ms: millis(self.elapsed()),
         });
     }
 
-    /// Sends the request to an endpoint and waits for the head of its answer.
-    async fn send(
+    /// Sends the request to an endpoint, waits for the head of the response and checks it.
+    async fn send_to(
         &self,
         attempts: &mut Attempts,
-        placed: Placed,
+        placement: Placement,
         last_event: Option<&str>,
-    ) -> Result<Answered, Failed> {
+    ) -> Result<EndpointResponse, AttemptError> {
         attempts.made += 1;
-        let endpoint = &placed.endpoint;
+        let endpoint = &placement.endpoint;
         self.beliefs.events.write_success(
             clock::now(),
             &Event::Sent {
-                request: self.asked.id.as_str(),
+                request: self.metadata.id.as_str(),
                 endpoint: endpoint.id.as_str(),
                 attempt: attempts.made,
-                load: placed.load,
+                load: placement.load,
                 configuration: self.catalog.version.0,
             },
         );
-        let lost = endpoint
+        let group_lost = endpoint
             .group_key()
             .map(|key| self.beliefs.watch_group(&key));
-        let mut flight = Flight::begin(
+        let mut in_flight = InFlightRequest::start(
             Arc::clone(&self.beliefs),
             endpoint.id.clone(),
-            self.asked.id.clone(),
-            self.arrived,
-            lost,
+            self.metadata.id.clone(),
+            self.arrived_at,
+            group_lost,
         );
         match self
-            .exchange(endpoint, &mut flight, attempts, last_event)
+            .send_request(endpoint, &mut in_flight, attempts, last_event)
             .await
         {
-            Ok(exchange) => self.check(exchange, flight).await,
-            Err((failed, is_endpoints_fault)) => {
-                if is_endpoints_fault {
-                    flight.fail();
+            Ok(exchange) => self.check_response(exchange, in_flight).await,
+            Err((error, is_endpoint_fault)) => {
+                if is_endpoint_fault {
+                    in_flight.mark_failed();
                 } else {
-                    flight.settle();
+                    in_flight.mark_ended();
                 }
-                Err(failed)
+                Err(error)
             }
         }
     }
 
+    /// Returns the customer's priority, or the route's if the customer has none.
     pub(super) fn priority(&self) -> u8 {
-        let customers = self
+        let customer_priority = self
             .customer
             .as_ref()
             .and_then(|customer| customer.priority);
-        customers.unwrap_or(self.route.priority)
+        customer_priority.unwrap_or(self.route.priority)
     }
 
     /// Returns whether another attempt may follow one that may have run.
-    pub(crate) fn may_go_on(&self, attempts: &Attempts) -> bool {
+    pub(crate) fn may_retry(&self, attempts: &Attempts) -> bool {
         self.route.delivery.may_repeat() && self.has_attempts_left(attempts)
     }
 }
 
-/// Returns what is left of a caller's own time `after` its request came; `left` where it named none.
-fn left_of(timeout: Option<Duration>, after: Duration, left: Duration) -> Duration {
-    timeout.map_or(left, |timeout| timeout.saturating_sub(after))
+/// Returns the time left until the caller's own timeout, or `time_left` if the caller set none.
+fn remaining_caller_time(
+    timeout: Option<Duration>,
+    elapsed: Duration,
+    time_left: Duration,
+) -> Duration {
+    timeout.map_or(time_left, |timeout| timeout.saturating_sub(elapsed))
 }
--- a/crates/sesamecart-entry/src/traffic/call/tests.rs
+++ b/crates/sesamecart-entry/src/traffic/call/tests.rs
@@ -1,24 +1,31 @@
 use std::time::Duration;
 
-use super::left_of;
+use super::remaining_caller_time;
 
-const AFTER: Duration = Duration::from_secs(4);
+const ELAPSED: Duration = Duration::from_secs(4);
 
-/// An endpoint that hears of less time than there is gives a request up that would be served in time.
+/// An endpoint that is sent less than the remaining time gives up a request that it could serve in time. This
+/// happens if the elapsed time is subtracted twice.
 #[test]
-fn the_time_that_has_passed_is_taken_off_once() {
+fn elapsed_time_is_subtracted_once() {
     let limit = Duration::from_secs(60);
-    let left = limit.saturating_sub(AFTER);
-    assert_eq!(left_of(None, AFTER, left), Duration::from_secs(56));
+    let time_left = limit.saturating_sub(ELAPSED);
+    assert_eq!(
+        remaining_caller_time(None, ELAPSED, time_left),
+        Duration::from_secs(56)
+    );
     let timeout = Some(Duration::from_secs(6));
-    assert_eq!(left_of(timeout, AFTER, left), Duration::from_secs(2));
+    assert_eq!(
+        remaining_caller_time(timeout, ELAPSED, time_left),
+        Duration::from_secs(2)
+    );
 }
 
 #[test]
-fn nothing_is_left_after_a_callers_own_time() {
+fn no_time_is_left_after_the_callers_timeout() {
     let timeout = Some(Duration::from_secs(3));
     assert_eq!(
-        left_of(timeout, AFTER, Duration::from_secs(56)),
+        remaining_caller_time(timeout, ELAPSED, Duration::from_secs(56)),
         Duration::ZERO
     );
 }
--- /dev/null
+++ b/crates/sesamecart-entry/src/traffic/event_splitter.rs
@@ -0,0 +1,99 @@
+//! Splits a stream into complete events.
+//!
+//! An endpoint may fail in the middle of an event. If the first part of such an event were forwarded, the
+//! first event of the endpoint that resumes the stream would be appended to it. Only complete events are
+//! therefore forwarded.
+
+use bytes::{Bytes, BytesMut};
+
+/// The maximum size of an event. A stream with a larger one is treated as broken.
+const MAX_EVENT_BYTES: usize = 256 * 1024;
+
+/// Buffers a stream's bytes and releases them in complete events.
+#[derive(Debug, Default)]
+pub(crate) struct EventSplitter {
+    buf: BytesMut,
+    last_id: Option<String>,
+}
+
+/// The result of adding one chunk of a stream.
+#[derive(Debug, Eq, PartialEq)]
+pub(crate) enum PushOutcome {
+    /// The events that the chunk completed; may be empty.
+    Events(Bytes),
+    /// An event is out of order or too large, so the rest of the stream can't be used.
+    Fault(&'static str),
+}
+
+impl EventSplitter {
+    /// Creates a splitter for a stream that resumes after the event `last_id`.
+    pub(crate) fn resuming_after(last_id: Option<String>) -> Self {
+        Self {
+            buf: BytesMut::new(),
+            last_id,
+        }
+    }
+
+    /// Returns the id of the last complete event.
+    pub(crate) fn last_id(&self) -> Option<&str> {
+        self.last_id.as_deref()
+    }
+
+    /// Returns whether no partial event is buffered.
+    pub(crate) fn is_between_events(&self) -> bool {
+        self.buf.is_empty()
+    }
+
+    /// Adds a chunk of the stream.
+    pub(crate) fn push(&mut self, chunk: &Bytes) -> PushOutcome {
+        self.buf.extend_from_slice(chunk);
+        let mut end = 0;
+        while let Some(len) = event_len(&self.buf[end..]) {
+            let event = &self.buf[end..end + len];
+            if let Some(id) = event_id(event) {
+                if !is_next_id(self.last_id.as_deref(), id) {
+                    return PushOutcome::Fault("an event is out of order");
+                }
+                self.last_id = Some(id.to_owned());
+            }
+            end += len;
+        }
+        if self.buf.len() - end > MAX_EVENT_BYTES {
+            return PushOutcome::Fault("an event is too large");
+        }
+        PushOutcome::Events(self.buf.split_to(end).freeze())
+    }
+}
+
+/// Returns the length of the first complete event, including the blank line that ends it.
+fn event_len(bytes: &[u8]) -> Option<usize> {
+    let mut line_start = 0;
+    for (index, byte) in bytes.iter().enumerate() {
+        if *byte != b'\n' {
+            continue;
+        }
+        let line = &bytes[line_start..index];
+        if index > 0 && (line.is_empty() || line == b"\r") {
+            return Some(index + 1);
+        }
+        line_start = index + 1;
+    }
+    None
+}
+
+fn event_id(event: &[u8]) -> Option<&str> {
+    let mut lines = event.split(|byte| *byte == b'\n');
+    let id = lines.find_map(|line| line.strip_prefix(b"id:"))?;
+    std::str::from_utf8(id).ok().map(str::trim)
+}
+
+/// Returns whether the event `id` may follow the event `last`: numeric ids increase by one, other ids differ.
+fn is_next_id(last: Option<&str>, id: &str) -> bool {
+    let Some(last) = last else {
+        return true;
+    };
+    match (last.parse::<u64>(), id.parse::<u64>()) {
+        (Ok(last), Ok(id)) => id == last.saturating_add(1),
+        _ => last != id,
+    }
+}
--- a/crates/sesamecart-entry/src/traffic/handler.rs
+++ b/crates/sesamecart-entry/src/traffic/handler.rs
@@ -1,4 +1,4 @@
-//! Answers one request of a caller, from its head to the last byte.
+//! Handles one request of a caller, from its head to the last byte of the response.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,11 +17,11 @@
 use crate::clock;
 use crate::events::Event;
 use crate::follower::millis;
-use crate::traffic::call::{Answered, Attempts, Call};
+use crate::traffic::call::{Attempts, Call, EndpointResponse};
 use crate::traffic::refusal::Refusal;
 use crate::traffic::relay::Relay;
 
-/// Answers callers' requests.
+/// Handles callers' requests.
 #[derive(Clone, Debug)]
 pub(crate) struct Handler {
     beliefs: Arc<Beliefs>,
@@ -33,13 +33,14 @@
         Self { beliefs, client }
     }
 
-    /// Answers a request; every failure becomes an answer that says what may have run.
-    pub(crate) async fn answer(&self, req: Request<Incoming>) -> Response<CallerBody> {
-        let arrived = clock::now();
+    /// Handles a request. Each failure is turned into a response whose status shows whether the request may
+    /// have run.
+    pub(crate) async fn handle(&self, req: Request<Incoming>) -> Response<CallerBody> {
+        let arrived_at = clock::now();
         let (head, body) = req.into_parts();
-        let mut response = match self.try_answer(arrived, head, body).await {
+        let mut response = match self.try_handle(arrived_at, head, body).await {
             Ok(response) => response,
-            Err(refused) => self.refuse(arrived, &refused),
+            Err(refused) => self.refuse(arrived_at, &refused),
         };
         if self.beliefs.is_leaving() {
             let headers = response.headers_mut();
@@ -48,8 +49,13 @@
         response
     }
 
-    fn refuse(&self, arrived: Timestamp, refused: &Refused) -> Response<CallerBody> {
-        let Refused { id, refusal, after } = refused;
+    /// Creates the response for a refused request, and counts and logs the refusal.
+    fn refuse(&self, arrived_at: Timestamp, refused: &Refused) -> Response<CallerBody> {
+        let Refused {
+            id,
+            refusal,
+            retry_after,
+        } = refused;
         let status = refusal.status().as_u16();
         let catalog = self.beliefs.catalog.load();
         self.beliefs.metrics.count_answer("node", status);
@@ -57,27 +63,27 @@
             request: id,
             status,
             cause: &refusal.to_string(),
-            retry_after_ms: (*after).map(millis),
+            retry_after_ms: (*retry_after).map(millis),
             configuration: catalog.as_ref().map_or(0, |catalog| catalog.version.0),
             configuration_age_ms: self.beliefs.configuration_age().map(millis),
-            after_ms: millis(clock::now().since(arrived)),
+            after_ms: millis(clock::now().since(arrived_at)),
         });
-        refusal.answer(*after)
+        refusal.to_response(*retry_after)
     }
 
-    async fn try_answer(
+    async fn try_handle(
         &self,
-        arrived: Timestamp,
+        arrived_at: Timestamp,
         head: Parts,
         body: Incoming,
     ) -> Result<Response<CallerBody>, Refused> {
-        let asked = Asked::read(&head).map_err(|error| {
+        let metadata = Asked::read(&head).map_err(|error| {
             let refusal = Refusal::BadRequest(error.to_string());
             Refused::new(String::new(), refusal)
         })?;
-        let id = asked.id.to_string();
+        let id = metadata.id.to_string();
         let refused = |refusal| Refused::new(id.clone(), refusal);
-        let admitted = self.admit(&head, &asked).map_err(refused)?;
+        let admitted = self.admit(&head, &metadata).map_err(refused)?;
         self.beliefs.note_request();
         let body = read_body(&admitted.catalog, body).await.map_err(refused)?;
         let call = Arc::new(Call {
@@ -86,29 +92,36 @@
             catalog: admitted.catalog,
             route: admitted.route,
             customer: admitted.customer,
-            asked,
+            metadata,
             head,
             body,
-            arrived,
+            arrived_at,
         });
-        call.note_demand();
+        call.record_demand();
         serve(&call).await.map_err(|refusal| Refused {
             id: id.clone(),
-            after: call.retry_after(&refusal),
+            retry_after: call.retry_after(&refusal),
             refusal,
         })
     }
 
-    /// Finds the route and the customer of a request, by a configuration that may be acted on.
-    fn admit(&self, head: &Parts, asked: &Asked) -> Result<Admitted, Refusal> {
+    /// Looks up the route and the customer of a request in the current configuration.
+    ///
+    /// # Errors
+    ///
+    /// Refuses requests that the configuration doesn't allow, and all requests while the configuration is
+    /// missing. Requests that need a key are also refused while the configuration isn't confirmed to be
+    /// recent.
+    fn admit(&self, head: &Parts, metadata: &Asked) -> Result<Admitted, Refusal> {
         let not_ready = Refusal::NotReady;
         let catalog = self.beliefs.catalog.load_full();
         let catalog = catalog.ok_or_else(|| not_ready("the node has no configuration yet"))?;
-        if head_bytes(head) > catalog.limits.max_header_bytes.0 {
+        if head_size(head) > catalog.limits.max_header_bytes.0 {
             return Err(Refusal::HeadTooLarge);
         }
-        // What an old configuration doesn't know may have been added since, so a node that may have
-        // missed a change says that it isn't ready instead of denying what is allowed.
+        // A route or key that is missing from an outdated configuration may have been added since. A node
+        // that may have missed a change therefore responds that it isn't ready instead of denying an allowed
+        // request.
         let deny = |refusal| {
             if self.beliefs.is_outdated() {
                 not_ready("the node's configuration may be out of date")
@@ -116,7 +129,7 @@
                 refusal
             }
         };
-        let RouteMatch::Found(route) = catalog.route(&asked.host, head.uri.path()) else {
+        let RouteMatch::Found(route) = catalog.route(&metadata.host, head.uri.path()) else {
             return Err(deny(Refusal::NoRoute));
         };
         let Some(customers) = catalog.customers.as_ref().filter(|_| !route.is_open) else {
@@ -129,9 +142,9 @@
         if !self.beliefs.is_confirmed_fresh() {
             return Err(not_ready("the node's configuration is too old"));
         }
-        let key = asked.key.as_ref();
+        let key = metadata.key.as_ref();
         let customer = key.and_then(|key| customers.get(key)).cloned();
-        let customer = customer.ok_or_else(|| deny(Refusal::Key))?;
+        let customer = customer.ok_or_else(|| deny(Refusal::InvalidKey))?;
         Ok(Admitted {
             catalog,
             route,
@@ -140,29 +153,34 @@
     }
 }
 
-/// What one configuration says of a request that may be served.
+/// The configuration, route and customer of an admitted request.
 struct Admitted {
     catalog: Arc<Catalog>,
     route: Arc<PathRoute>,
     customer: Option<Arc<Customer>>,
 }
 
-/// A request that gets an answer of the node's own.
+/// A request that the node refuses.
 struct Refused {
     id: String,
     refusal: Refusal,
-    /// When the caller may come back.
-    after: Option<Duration>,
+    /// The time after which the caller may retry.
+    retry_after: Option<Duration>,
 }
 
 impl Refused {
     fn new(id: String, refusal: Refusal) -> Self {
-        let after = refusal.retry_after(fastrand::f64());
-        Self { id, refusal, after }
+        let retry_after = refusal.retry_after(fastrand::f64());
+        Self {
+            id,
+            refusal,
+            retry_after,
+        }
     }
 }
 
-fn head_bytes(head: &Parts) -> u64 {
+/// Returns the approximate size of a request's head in bytes.
+fn head_size(head: &Parts) -> u64 {
     let headers = head.headers.iter();
     let lines = headers.map(|(name, value)| name.as_str().len() + value.len() + 4);
     let target = head
@@ -172,6 +190,7 @@
     (lines.sum::<usize>() + target) as u64
 }
 
+/// Reads the body of a request within the configured limits.
 async fn read_body(catalog: &Catalog, body: Incoming) -> Result<Bytes, Refusal> {
     let limits = &catalog.limits;
     if body.size_hint().lower() > limits.max_body_bytes.0 {
@@ -189,66 +208,72 @@
         })
 }
 
+/// Sends the request to endpoints and returns the response for the caller.
 async fn serve(call: &Arc<Call>) -> Result<Response<CallerBody>, Refusal> {
     let mut attempts = Attempts::default();
-    let last_event = call.asked.last_event.as_deref();
+    let last_event = call.metadata.last_event.as_deref();
     loop {
-        let answered = call.attempt(&mut attempts, last_event).await?;
-        if call.route.delivery.is_stream() && answered.status.is_success() {
-            return Ok(stream(call, attempts, answered));
+        let received = call.send_with_retries(&mut attempts, last_event).await?;
+        if call.route.delivery.is_stream() && received.status.is_success() {
+            return Ok(stream_response(call, attempts, received));
         }
-        let endpoint = answered.flight.endpoint.clone();
-        let response = match call.read(answered).await {
+        let endpoint = received.in_flight.endpoint.clone();
+        let response = match call.buffer_response(received).await {
             Ok(response) => response,
             Err(refusal) => {
-                attempts.note_broken(endpoint);
-                if call.may_go_on(&attempts) {
+                attempts.record_incomplete(endpoint);
+                if call.may_retry(&attempts) {
                     continue;
                 }
                 return Err(refusal);
             }
         };
         if !response.status().is_server_error() {
-            return Ok(pass_on(call, &attempts, &endpoint, response));
+            return Ok(forward_response(call, &attempts, &endpoint, response));
         }
-        attempts.note_broken(endpoint.clone());
-        return Ok(second_opinion(call, attempts, endpoint, response).await);
+        attempts.record_incomplete(endpoint.clone());
+        return Ok(retry_server_error(call, attempts, endpoint, response).await);
     }
 }
 
-/// Asks another endpoint after the first one failed a request that may be repeated; the first
-/// answer stands unless the second endpoint gives one.
-async fn second_opinion(
+/// Retries a repeatable request at another endpoint after a server error. If that attempt gives no response,
+/// the first response is forwarded.
+async fn retry_server_error(
     call: &Call,
     mut attempts: Attempts,
     endpoint: EndpointId,
     first: Response<Bytes>,
 ) -> Response<CallerBody> {
-    if !call.may_go_on(&attempts) {
-        return pass_on(call, &attempts, &endpoint, first);
+    if !call.may_retry(&attempts) {
+        return forward_response(call, &attempts, &endpoint, first);
     }
-    let last_event = call.asked.last_event.as_deref();
-    let Ok(answered) = call.attempt(&mut attempts, last_event).await else {
-        return pass_on(call, &attempts, &endpoint, first);
+    let last_event = call.metadata.last_event.as_deref();
+    let Ok(received) = call.send_with_retries(&mut attempts, last_event).await else {
+        return forward_response(call, &attempts, &endpoint, first);
     };
-    let second = answered.flight.endpoint.clone();
-    match call.read(answered).await {
-        Ok(response) => pass_on(call, &attempts, &second, response),
-        Err(_) => pass_on(call, &attempts, &endpoint, first),
+    let second_endpoint = received.in_flight.endpoint.clone();
+    match call.buffer_response(received).await {
+        Ok(response) => forward_response(call, &attempts, &second_endpoint, response),
+        Err(_) => forward_response(call, &attempts, &endpoint, first),
     }
 }
 
-fn stream(call: &Arc<Call>, attempts: Attempts, answered: Answered) -> Response<CallerBody> {
-    let (status, headers) = (answered.status, forwarded_headers(&answered.headers));
-    let relay = Relay::new(Arc::clone(call), attempts, answered);
+/// Starts streaming an endpoint's response to the caller.
+fn stream_response(
+    call: &Arc<Call>,
+    attempts: Attempts,
+    received: EndpointResponse,
+) -> Response<CallerBody> {
+    let (status, headers) = (received.status, forwarded_headers(&received.headers));
+    let relay = Relay::new(Arc::clone(call), attempts, received);
     let mut response = Response::new(relay.into_body());
     *response.status_mut() = status;
     *response.headers_mut() = headers;
     response
 }
 
-/// Passes an endpoint's whole answer on as it is.
-fn pass_on(
+/// Forwards an endpoint's complete response unchanged.
+fn forward_response(
     call: &Call,
     attempts: &Attempts,
     endpoint: &EndpointId,
@@ -256,28 +281,28 @@
 ) -> Response<CallerBody> {
     let (head, body) = response.into_parts();
     let status = head.status.as_u16();
-    let taken = call.after();
+    let elapsed = call.elapsed();
     call.beliefs.metrics.count_answer("endpoint", status);
-    call.beliefs.metrics.record_first(taken);
+    call.beliefs.metrics.record_first(elapsed);
     call.beliefs.events.write_success(
         clock::now(),
         &Event::Answered {
-            request: call.asked.id.as_str(),
+            request: call.metadata.id.as_str(),
             endpoint: endpoint.as_str(),
             status,
             attempts: attempts.made,
             route: &call.route.name,
-            first_ms: millis(taken),
+            first_ms: millis(elapsed),
             pause_ms: 0,
-            total_ms: millis(taken),
+            total_ms: millis(elapsed),
         },
     );
     let len = body.len();
-    let mut answer = Response::new(whole(body));
-    *answer.status_mut() = head.status;
-    *answer.headers_mut() = forwarded_headers(&head.headers);
-    answer
+    let mut forwarded = Response::new(whole(body));
+    *forwarded.status_mut() = head.status;
+    *forwarded.headers_mut() = forwarded_headers(&head.headers);
+    forwarded
         .headers_mut()
         .insert(CONTENT_LENGTH, HeaderValue::from(len));
-    answer
+    forwarded
 }
--- /dev/null
+++ b/crates/sesamecart-entry/src/traffic/in_flight.rs
@@ -0,0 +1,124 @@
+//! Tracks one attempt's slot at an endpoint and releases it however the attempt ends.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use futures_lite::future;
+use sesamecart_runtime::Signal;
+use sesamecart_vocabulary::{EndpointId, RequestId, Timestamp};
+
+use crate::beliefs::Beliefs;
+use crate::clock;
+use crate::events::Event;
+use crate::follower::millis;
+
+/// A request in flight at an endpoint.
+///
+/// When the caller disconnects, the HTTP library drops the request's future at any await point. Dropping this
+/// value releases the slot at the endpoint; otherwise the node would count the slot as occupied forever.
+#[derive(Debug)]
+pub(crate) struct InFlightRequest {
+    beliefs: Arc<Beliefs>,
+    pub(crate) endpoint: EndpointId,
+    request: RequestId,
+    arrived_at: Timestamp,
+    sent_at: Timestamp,
+    /// Set when the endpoint's group is detected as lost.
+    group_lost: Option<Signal>,
+    /// Whether the endpoint has sent anything for this request.
+    has_started: bool,
+    /// Whether the attempt has a result. An attempt dropped without one was abandoned by its caller.
+    has_ended: bool,
+}
+
+impl InFlightRequest {
+    /// Registers a request that is sent to an endpoint now.
+    pub(crate) fn start(
+        beliefs: Arc<Beliefs>,
+        endpoint: EndpointId,
+        request: RequestId,
+        arrived_at: Timestamp,
+        group_lost: Option<Signal>,
+    ) -> Self {
+        let sent_at = clock::now();
+        beliefs.loads().sent(sent_at, &endpoint);
+        beliefs.loads_changed.notify(usize::MAX);
+        Self {
+            beliefs,
+            endpoint,
+            request,
+            arrived_at,
+            sent_at,
+            group_lost,
+            has_started: false,
+            has_ended: false,
+        }
+    }
+
+    /// Returns a future that completes when the endpoint's group is detected as lost.
+    pub(crate) fn group_lost(&self) -> impl Future<Output = ()> + Send + use<> {
+        let group_lost = self.group_lost.clone();
+        async move {
+            match group_lost {
+                Some(signal) => signal.wait().await,
+                None => future::pending().await,
+            }
+        }
+    }
+
+    /// Returns the time since the request was sent.
+    pub(crate) fn age(&self) -> Duration {
+        clock::now().since(self.sent_at)
+    }
+
+    /// Records that the endpoint sent data for this request.
+    pub(crate) fn record_activity(&mut self) {
+        let now = clock::now();
+        if self.has_started {
+            self.beliefs.loads().heard(now, &self.endpoint);
+            return;
+        }
+        self.has_started = true;
+        self.beliefs.loads().begun(now, &self.endpoint);
+        self.beliefs.loads_changed.notify(usize::MAX);
+    }
+
+    /// Records that the response was complete.
+    pub(crate) fn mark_succeeded(&mut self) {
+        self.has_ended = true;
+        self.beliefs.loads().succeeded(&self.endpoint);
+    }
+
+    /// Records that the endpoint failed the request, which may eject the endpoint.
+    pub(crate) fn mark_failed(&mut self) {
+        self.has_ended = true;
+        let ejection_time = self.beliefs.loads().failed(clock::now(), &self.endpoint);
+        if let Some(ejection_time) = ejection_time {
+            self.beliefs.events.write(&Event::EndpointRests {
+                endpoint: self.endpoint.as_str(),
+                request: self.request.as_str(),
+                rest_ms: millis(ejection_time),
+            });
+        }
+    }
+
+    /// Records that the attempt ended without a fault of the endpoint.
+    pub(crate) fn mark_ended(&mut self) {
+        self.has_ended = true;
+    }
+}
+
+impl Drop for InFlightRequest {
+    fn drop(&mut self) {
+        self.beliefs.loads().ended(&self.endpoint, self.has_started);
+        self.beliefs.loads_changed.notify(usize::MAX);
+        if self.has_ended {
+            return;
+        }
+        self.beliefs.events.write(&Event::CallerLeft {
+            request: self.request.as_str(),
+            endpoint: self.endpoint.as_str(),
+            after_ms: millis(clock::now().since(self.arrived_at)),
+        });
+    }
+}
--- a/crates/sesamecart-entry/src/traffic/placing.rs
+++ b/crates/sesamecart-entry/src/traffic/placement.rs
@@ -1,4 +1,4 @@
-//! Which endpoint takes a request.
+//! Selects the endpoint for a request.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,37 +11,42 @@
 use crate::traffic::call::{Attempts, Call};
 use crate::traffic::refusal::Refusal;
 
-/// The part of the time that a caller still waits after which it may come back at the latest: what is left has
-/// to be enough for the answer.
-const MAX_RETRY_PART: f64 = 1.0 / 3.0;
+/// The maximum `Retry-After` as a fraction of the caller's remaining time. The rest of that time has to be
+/// enough for the response.
+const MAX_RETRY_AFTER_FRACTION: f64 = 1.0 / 3.0;
 
-/// An endpoint that was chosen.
-pub(super) struct Placed {
+/// The endpoint selected for an attempt, and its load.
+pub(super) struct Placement {
     pub(super) endpoint: Arc<Endpoint>,
     pub(super) service: ServiceId,
     pub(super) load: f64,
 }
 
-/// What becomes of cold endpoints where one is chosen.
+/// How endpoint selection handles cold endpoints.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) enum ColdEndpoints {
-    /// They are taken as far as this node's share of what they bear goes, and that is spent.
-    WithinAllowance,
-    /// They are passed over: nothing is sent yet.
-    PassedOver,
+pub(super) enum ColdEndpointPolicy {
+    /// Cold endpoints are used within this node's share of the request rate that they can handle, and each
+    /// use is charged to that share.
+    WithinBudget,
+    /// Cold endpoints are skipped, because the selection only probes for a placement and sends no request.
+    Skip,
 }
 
 impl Call {
-    /// Chooses an endpoint that this request hasn't tried.
+    /// Selects an endpoint that this request hasn't tried.
+    ///
+    /// # Errors
+    ///
+    /// Returns why no endpoint is available to the request.
     pub(super) fn place(
         &self,
         attempts: &Attempts,
-        cold: ColdEndpoints,
-    ) -> Result<Placed, Unavailable> {
+        cold_policy: ColdEndpointPolicy,
+    ) -> Result<Placement, Unavailable> {
         let service = self.service().ok_or(Unavailable::NoEndpoint)?;
-        let known = self.catalog.services.get(service);
-        let is_model = known.is_some_and(|known| known.engine.is_some());
-        let model = self.asked.model.as_ref().filter(|_| is_model);
+        let service_config = self.catalog.services.get(service);
+        let has_engine = service_config.is_some_and(|config| config.engine.is_some());
+        let model = self.metadata.model.as_ref().filter(|_| has_engine);
         let directory = self.beliefs.directory.load_full();
         let slots = self.usable_slots();
         let mut endpoints: Vec<&Arc<Endpoint>> = directory
@@ -49,8 +54,8 @@
             .filter(|endpoint| !attempts.tried.contains(&endpoint.id))
             .filter(|endpoint| !self.beliefs.is_lost(endpoint))
             .collect();
-        if let (true, Some(model), Some(known)) = (endpoints.is_empty(), model, known)
-            && !known.may_hold(model, directory.largest_fabric_domain(service))
+        if let (true, Some(model), Some(config)) = (endpoints.is_empty(), model, service_config)
+            && !config.may_hold(model, directory.largest_fabric_domain(service))
         {
             return Err(Unavailable::Unservable);
         }
@@ -72,17 +77,17 @@
                 return Err(Unavailable::OverShare);
             }
             let endpoint = Arc::clone(endpoints[chosen.index]);
-            let cold_per_s = known.and_then(|known| known.cold_per_s);
-            let is_refused = cold_per_s.is_some_and(|per_s| {
+            let cold_per_s = service_config.and_then(|config| config.cold_per_s);
+            let is_skipped = cold_per_s.is_some_and(|per_s| {
                 directory.is_cold(now, &endpoint.id)
-                    && (cold == ColdEndpoints::PassedOver
+                    && (cold_policy == ColdEndpointPolicy::Skip
                         || !self.beliefs.take_cold(&endpoint, per_s))
             });
-            if is_refused {
+            if is_skipped {
                 endpoints.remove(chosen.index);
                 continue;
             }
-            return Ok(Placed {
+            return Ok(Placement {
                 endpoint,
                 service: service.clone(),
                 load: chosen.load,
@@ -90,8 +95,8 @@
         }
     }
 
-    /// Returns whether a first attempt has to leave its place, at an endpoint with `load`, to the callers of other
-    /// customers.
+    /// Returns whether a first attempt exceeds its customer's fair share, so that the slot at an endpoint
+    /// with `load` has to be left to other customers.
     fn is_over_share(&self, attempts: &Attempts, service: &ServiceId, load: f64) -> bool {
         let customer = self.customer.as_ref().filter(|_| attempts.made == 0);
         customer.is_some_and(|customer| {
@@ -100,14 +105,14 @@
         })
     }
 
-    /// Notes that a first attempt has got a place.
-    pub(super) fn note_placed(&self, placed: &Placed) {
-        let customer = self.customer.as_ref().map(|customer| &customer.id);
-        let pool = self.pool(&placed.service);
-        self.beliefs.note_placed(&pool, customer);
+    /// Records that a first attempt was assigned an endpoint.
+    pub(super) fn record_placement(&self, placement: &Placement) {
+        let customer_id = self.customer.as_ref().map(|customer| &customer.id);
+        let pool = self.pool(&placement.service);
+        self.beliefs.note_placed(&pool, customer_id);
     }
 
-    /// Returns the endpoints of a service that the request competes for with others.
+    /// Returns the pool of endpoints for which the request competes with others.
     fn pool(&self, service: &ServiceId) -> Pool {
         let model = self.engine_model().map(|(_, model)| model.model.clone());
         Pool {
@@ -116,27 +121,28 @@
         }
     }
 
-    /// Returns when a caller that is refused may come back.
+    /// Returns the time after which a refused caller may retry.
     pub(crate) fn retry_after(&self, refusal: &Refusal) -> Option<Duration> {
-        let service = self.service().filter(|_| refusal.is_for_want_of_room());
+        let service = self.service().filter(|_| refusal.is_capacity_shortage());
         let Some(service) = service else {
             return refusal.retry_after(fastrand::f64());
         };
         let after = self.beliefs.schedule_retry(&self.pool(service));
-        Some(after.min(self.callers_left().mul_f64(MAX_RETRY_PART)))
+        Some(after.min(self.caller_time_left().mul_f64(MAX_RETRY_AFTER_FRACTION)))
     }
 
-    /// Returns the service that the route's weights give this request, the same at each attempt.
+    /// Returns the service selected by the route's weights. It depends on the request's id, so all attempts
+    /// of a request use the same service.
     pub(super) fn service(&self) -> Option<&ServiceId> {
         let services = &self.route.services;
         let total: u64 = services.iter().map(|part| u64::from(part.weight)).sum();
-        let mut draw = stable_hash(self.asked.id.as_str()) % total.max(1);
-        let drawn = services.iter().find(|part| {
+        let mut draw = stable_hash(self.metadata.id.as_str()) % total.max(1);
+        let selected = services.iter().find(|part| {
             let weight = u64::from(part.weight);
-            let found = draw < weight;
+            let is_selected = draw < weight;
             draw = draw.saturating_sub(weight);
-            found
+            is_selected
         });
-        drawn.map(|part: &WeightedService| &part.service)
+        selected.map(|part: &WeightedService| &part.service)
     }
 }
--- a/crates/sesamecart-entry/src/traffic/refusal.rs
+++ b/crates/sesamecart-entry/src/traffic/refusal.rs
@@ -1,4 +1,4 @@
-//! Answers that the node gives by itself.
+//! Error responses that the node itself sends to callers.
 
 use std::time::Duration;
 
@@ -12,60 +12,62 @@
 #[cfg(test)]
 mod tests;
 
-/// Why a request gets no endpoint's answer.
+/// Why a request isn't answered by an endpoint.
 ///
-/// The statuses 408, 429 and 503 promise that the request has not run; 502 and 504 promise nothing.
+/// The statuses 408, 429 and 503 guarantee that the request hasn't run; 502 and 504 guarantee nothing.
 #[derive(Clone, Debug, Display, Eq, PartialEq)]
 pub(crate) enum Refusal {
-    /// The request can't be read.
+    /// The request is malformed.
     #[display("{_0}")]
     BadRequest(String),
-    /// No route begins the path.
+    /// No route matches the path.
     #[display("no route serves this path")]
     NoRoute,
-    /// The key is missing or unknown.
+    /// The API key is missing or unknown.
     #[display("the key is missing or not known")]
-    Key,
-    /// The body is larger than the operator allows.
+    InvalidKey,
+    /// The body exceeds the configured limit.
     #[display("{_0}")]
     TooLarge(String),
-    /// The head is larger than the operator allows.
+    /// The head exceeds the configured limit.
     #[display("the head is too large")]
     HeadTooLarge,
-    /// The body came too slowly.
+    /// The body arrived too slowly.
     #[display("{_0}")]
     TooSlow(String),
-    /// The node may not serve now.
+    /// The node can't serve requests now.
     #[display("{_0}")]
     NotReady(&'static str),
-    /// No endpoint takes it.
+    /// No endpoint can take the request.
     #[display("{_0}")]
     Unavailable(Unavailable),
-    /// Endpoints failed before they ran it, and no further attempt may follow.
+    /// All attempts failed before the request ran, and no further attempt is allowed.
     #[display("no attempt got through: {_0}")]
     NotRun(String),
-    /// It may have run, and gave no whole answer.
+    /// The request may have run, but no complete response arrived.
     #[display("the endpoint gave no whole answer: {_0}")]
-    NoAnswer(String),
-    /// The time ran out after it was sent.
+    IncompleteResponse(String),
+    /// The deadline passed after the request was sent.
     #[display("the endpoint gave no answer in time")]
     TimedOut,
 }
 
-/// When callers may come back whom no endpoint takes, the shortest and the longest time: a group is mended within
-/// about two seconds.
-const ABSENT_RETRY: (Duration, Duration) =
+/// The minimum and maximum `Retry-After` when no endpoint is available. A group is repaired within about two
+/// seconds.
+const NO_ENDPOINT_RETRY_AFTER: (Duration, Duration) =
     (Duration::from_millis(400), Duration::from_millis(1_500));
 
-/// The same where no fabric domain holds the model: engines have to be added first, which takes minutes.
-const UNSERVABLE_RETRY: (Duration, Duration) = (Duration::from_secs(60), Duration::from_secs(120));
+/// The minimum and maximum `Retry-After` when no fabric domain can hold the model. Engines have to be added
+/// first, which takes minutes.
+const UNSERVABLE_RETRY_AFTER: (Duration, Duration) =
+    (Duration::from_secs(60), Duration::from_secs(120));
 
 impl Refusal {
     pub(crate) const fn status(&self) -> StatusCode {
         match self {
             Self::BadRequest(_) => StatusCode::BAD_REQUEST,
             Self::NoRoute => StatusCode::NOT_FOUND,
-            Self::Key => StatusCode::UNAUTHORIZED,
+            Self::InvalidKey => StatusCode::UNAUTHORIZED,
             Self::TooLarge(_) => StatusCode::PAYLOAD_TOO_LARGE,
             Self::HeadTooLarge => StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE,
             Self::TooSlow(_) => StatusCode::REQUEST_TIMEOUT,
@@ -73,39 +75,42 @@
             Self::NotReady(_) | Self::Unavailable(_) | Self::NotRun(_) => {
                 StatusCode::SERVICE_UNAVAILABLE
             }
-            Self::NoAnswer(_) => StatusCode::BAD_GATEWAY,
+            Self::IncompleteResponse(_) => StatusCode::BAD_GATEWAY,
             Self::TimedOut => StatusCode::GATEWAY_TIMEOUT,
         }
     }
 
-    /// Returns whether the caller finds a place as soon as others end their requests.
-    pub(crate) const fn is_for_want_of_room(&self) -> bool {
+    /// Returns whether the request was refused for lack of free slots, so that a retry can succeed as soon as
+    /// other requests finish.
+    pub(crate) const fn is_capacity_shortage(&self) -> bool {
         matches!(
             self,
             Self::Unavailable(Unavailable::Full | Unavailable::OverShare)
         )
     }
 
-    /// Returns when the caller may come back, where that doesn't depend on how busy endpoints are; `draw` from 0
-    /// to 1 spreads those turned away together.
-    pub(crate) fn retry_after(&self, draw: f64) -> Option<Duration> {
-        let (least, most) = match self {
-            Self::Unavailable(Unavailable::Unservable) => UNSERVABLE_RETRY,
+    /// Returns the time after which the caller may retry, if that doesn't depend on the load of endpoints.
+    ///
+    /// `jitter` is between 0 and 1 and spreads the retries of callers that were refused at the same time.
+    pub(crate) fn retry_after(&self, jitter: f64) -> Option<Duration> {
+        let (min, max) = match self {
+            Self::Unavailable(Unavailable::Unservable) => UNSERVABLE_RETRY_AFTER,
             Self::NotReady(_) | Self::Unavailable(Unavailable::NoEndpoint) | Self::NotRun(_) => {
-                ABSENT_RETRY
+                NO_ENDPOINT_RETRY_AFTER
             }
             _ => return None,
         };
-        Some(least + (most - least).mul_f64(draw))
+        Some(min + (max - min).mul_f64(jitter))
     }
 
-    pub(crate) fn answer(&self, after: Option<Duration>) -> Response<CallerBody> {
+    /// Creates the response for the caller, with a `Retry-After` header if `delay` is given.
+    pub(crate) fn to_response(&self, delay: Option<Duration>) -> Response<CallerBody> {
         let mut response = Response::new(whole(format!("{self}\n")));
         *response.status_mut() = self.status();
         let headers = response.headers_mut();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("text/plain"));
-        if let Some(after) = after {
-            let (name, value) = retry_after(after);
+        if let Some(delay) = delay {
+            let (name, value) = retry_after(delay);
             headers.insert(name, value);
         }
         response
--- a/crates/sesamecart-entry/src/traffic/refusal/tests.rs
+++ b/crates/sesamecart-entry/src/traffic/refusal/tests.rs
@@ -18,27 +18,30 @@
     };
 }
 
-const MEND_TIME: Duration = Duration::from_millis(400);
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(400);
 
 refusals! {
-    a_full_service_has_no_fixed_time:
+    full_service_has_no_fixed_retry_time:
         Refusal::Unavailable(Unavailable::Full) => StatusCode::SERVICE_UNAVAILABLE, None;
-    a_customer_over_its_share_is_told_so:
+    customer_over_its_share_gets_too_many_requests:
         Refusal::Unavailable(Unavailable::OverShare) => StatusCode::TOO_MANY_REQUESTS, None;
-    a_group_is_mended_soon:
+    missing_endpoint_allows_an_early_retry:
         Refusal::Unavailable(Unavailable::NoEndpoint) =>
-            StatusCode::SERVICE_UNAVAILABLE, Some(MEND_TIME);
-    engines_that_have_to_be_added_take_long:
+            StatusCode::SERVICE_UNAVAILABLE, Some(MIN_RETRY_AFTER);
+    unservable_model_allows_only_a_late_retry:
         Refusal::Unavailable(Unavailable::Unservable) =>
             StatusCode::SERVICE_UNAVAILABLE, Some(Duration::from_secs(60));
-    what_may_have_run_is_not_asked_for_again:
-        Refusal::NoAnswer("cut".to_owned()) => StatusCode::BAD_GATEWAY, None;
+    incomplete_response_has_no_retry_time:
+        Refusal::IncompleteResponse("cut".to_owned()) => StatusCode::BAD_GATEWAY, None;
 }
 
-/// A status that promises that nothing has run must not be given for what may have.
+/// A request that may have run must not get a status that guarantees that it hasn't run.
 #[test]
-fn what_may_have_run_promises_nothing() {
-    for refusal in [Refusal::NoAnswer("cut".to_owned()), Refusal::TimedOut] {
+fn request_that_may_have_run_gets_no_not_run_status() {
+    for refusal in [
+        Refusal::IncompleteResponse("cut".to_owned()),
+        Refusal::TimedOut,
+    ] {
         assert!(!matches!(refusal.status().as_u16(), 408 | 429 | 503));
     }
 }
--- a/crates/sesamecart-entry/src/traffic/relay.rs
+++ b/crates/sesamecart-entry/src/traffic/relay.rs
@@ -1,8 +1,8 @@
-//! Passes a streamed answer on to the caller, and lets it go on elsewhere when its group is lost.
+//! Forwards a streamed response to the caller, and resumes it at another endpoint when the stream breaks.
 //!
-//! The caller pulls: nothing is read from the endpoint while the caller's own connection is full, so a
-//! slow caller holds one buffer and not a whole answer. When the caller leaves, the stream is
-//! dropped, which closes the endpoint's connection and frees its slot.
+//! The caller's connection applies backpressure: nothing is read from the endpoint while that connection is
+//! full, so a slow caller occupies one buffer instead of memory for a complete response. When the caller
+//! disconnects, the stream is dropped, which closes the endpoint's connection and frees its slot.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,177 +19,186 @@
 use crate::clock;
 use crate::events::Event;
 use crate::follower::millis;
-use crate::traffic::call::{Answered, Attempts, Call};
-use crate::traffic::events::{EventSplitter, Pushed};
-use crate::traffic::flight::Flight;
+use crate::traffic::call::{Attempts, Call, EndpointResponse};
+use crate::traffic::event_splitter::{EventSplitter, PushOutcome};
+use crate::traffic::in_flight::InFlightRequest;
 
-/// The endpoint's side of a stream, for one attempt.
+/// The endpoint's side of a stream for one attempt.
 #[derive(Debug)]
 struct Source {
     body: Incoming,
     lease: ConnectionLease,
-    flight: Flight,
+    in_flight: InFlightRequest,
 }
 
-/// A streamed answer on its way to the caller.
+/// A streamed response that is being forwarded to the caller.
 #[derive(Debug)]
 pub(crate) struct Relay {
     call: Arc<Call>,
     attempts: Attempts,
     source: Option<Source>,
     splitter: EventSplitter,
-    /// Ends the stream when the caller's or the operator's time has run out.
+    /// Ends the stream at the caller's timeout or the route's time limit.
     deadline: Timer,
     status: u16,
     first_ms: u64,
-    heard_at: Timestamp,
+    last_data_at: Timestamp,
     longest_pause: Duration,
 }
 
-/// What reading the endpoint's side gave.
-enum Heard {
+/// The result of reading from the endpoint.
+enum ReadOutcome {
     Data(Bytes),
     End,
     Broken(String),
-    Lost,
-    TooLate,
+    GroupLost,
+    DeadlinePassed,
 }
 
 impl Relay {
-    pub(crate) fn new(call: Arc<Call>, attempts: Attempts, answered: Answered) -> Self {
-        let last_event = call.asked.last_event.clone();
-        let taken = call.after();
-        call.beliefs.metrics.record_first(taken);
+    pub(crate) fn new(call: Arc<Call>, attempts: Attempts, received: EndpointResponse) -> Self {
+        let last_event = call.metadata.last_event.clone();
+        let elapsed = call.elapsed();
+        call.beliefs.metrics.record_first(elapsed);
         Self {
-            deadline: Timer::after(call.left()),
-            status: answered.status.as_u16(),
-            first_ms: millis(taken),
-            heard_at: clock::now(),
+            deadline: Timer::after(call.time_left()),
+            status: received.status.as_u16(),
+            first_ms: millis(elapsed),
+            last_data_at: clock::now(),
             longest_pause: Duration::ZERO,
-            splitter: EventSplitter::after(last_event),
-            source: Some(Source::of(answered)),
+            splitter: EventSplitter::resuming_after(last_event),
+            source: Some(Source::new(received)),
             attempts,
             call,
         }
     }
 
-    /// Makes the body of the answer to the caller.
+    /// Converts the relay into the body of the caller's response.
     pub(crate) fn into_body(self) -> CallerBody {
         let frames = stream::unfold(Some(self), |relay| async {
             let mut relay = relay?;
-            match relay.next().await {
+            match relay.next_events().await {
                 Ok(Some(bytes)) => Some((Ok(Frame::data(bytes)), Some(relay))),
                 Ok(None) => None,
-                // An error closes the caller's connection in the middle of the body: an answer that
-                // just ended would look whole.
+                // An error closes the caller's connection in the middle of the body. Without it, the
+                // truncated response would look complete.
                 Err(error) => Some((Err(error), None)),
             }
         });
         StreamBody::new(frames).boxed_unsync()
     }
 
-    /// Returns the next whole events, or nothing at the stream's own end.
-    async fn next(&mut self) -> Result<Option<Bytes>, BoxError> {
+    /// Returns the next complete events, or `None` at the regular end of the stream.
+    async fn next_events(&mut self) -> Result<Option<Bytes>, BoxError> {
         loop {
-            let heard = self.hear().await;
-            let is_lost = matches!(heard, Heard::Lost);
-            let reason = match heard {
-                Heard::Data(data) => match self.splitter.push(&data) {
-                    Pushed::Events(events) if events.is_empty() => continue,
-                    Pushed::Events(events) => return Ok(Some(events)),
-                    Pushed::Fault(fault) => fault.to_owned(),
+            let outcome = self.read().await;
+            let is_group_lost = matches!(outcome, ReadOutcome::GroupLost);
+            let reason = match outcome {
+                ReadOutcome::Data(data) => match self.splitter.push(&data) {
+                    PushOutcome::Events(events) if events.is_empty() => continue,
+                    PushOutcome::Events(events) => return Ok(Some(events)),
+                    PushOutcome::Fault(fault) => fault.to_owned(),
                 },
-                Heard::End if self.splitter.is_between_events() => {
+                ReadOutcome::End if self.splitter.is_between_events() => {
                     self.finish();
                     return Ok(None);
                 }
-                Heard::End => "it ended within an event".to_owned(),
-                Heard::Broken(cause) => cause,
-                Heard::Lost => "its group has lost a member".to_owned(),
-                Heard::TooLate => return Err(self.fail("its time ran out")),
+                ReadOutcome::End => "it ended within an event".to_owned(),
+                ReadOutcome::Broken(cause) => cause,
+                ReadOutcome::GroupLost => "its group has lost a member".to_owned(),
+                ReadOutcome::DeadlinePassed => return Err(self.fail("the deadline passed")),
             };
-            self.resume(&reason, is_lost).await?;
+            self.resume(&reason, is_group_lost).await?;
         }
     }
 
-    async fn hear(&mut self) -> Heard {
+    /// Reads the next data from the endpoint, until its group is lost or the deadline passes.
+    async fn read(&mut self) -> ReadOutcome {
         let Some(source) = &mut self.source else {
-            return Heard::Broken("it has no source".to_owned());
+            return ReadOutcome::Broken("it has no source".to_owned());
         };
-        let lost = source.flight.lost();
+        let group_lost = source.in_flight.group_lost();
         let frame = async {
             match source.body.frame().await {
-                None => Heard::End,
-                Some(Err(error)) => Heard::Broken(error.to_string()),
-                // Trailers hold nothing for the caller.
-                Some(Ok(frame)) => Heard::Data(frame.into_data().unwrap_or_default()),
+                None => ReadOutcome::End,
+                Some(Err(error)) => ReadOutcome::Broken(error.to_string()),
+                // Trailers contain nothing for the caller.
+                Some(Ok(frame)) => ReadOutcome::Data(frame.into_data().unwrap_or_default()),
             }
         };
-        let lost = async {
-            lost.await;
-            Heard::Lost
+        let group_lost = async {
+            group_lost.await;
+            ReadOutcome::GroupLost
         };
-        let late = async {
+        let deadline = async {
             (&mut self.deadline).await;
-            Heard::TooLate
+            ReadOutcome::DeadlinePassed
         };
-        let heard = future::or(frame, future::or(lost, late)).await;
-        if matches!(heard, Heard::Data(_)) {
-            source.flight.heard();
+        let outcome = future::or(frame, future::or(group_lost, deadline)).await;
+        if matches!(outcome, ReadOutcome::Data(_)) {
+            source.in_flight.record_activity();
             let now = clock::now();
-            self.longest_pause = self.longest_pause.max(now.since(self.heard_at));
-            self.heard_at = now;
+            self.longest_pause = self.longest_pause.max(now.since(self.last_data_at));
+            self.last_data_at = now;
         }
-        heard
+        outcome
     }
 
-    /// Goes on at another endpoint after the last whole event.
-    async fn resume(&mut self, reason: &str, is_lost: bool) -> Result<(), BoxError> {
+    /// Resumes the stream at another endpoint after the last complete event.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the stream can't be resumed; the error ends the caller's response.
+    async fn resume(&mut self, reason: &str, is_group_lost: bool) -> Result<(), BoxError> {
         let Some(mut broken) = self.source.take() else {
             return Err(self.fail(reason));
         };
-        let from = broken.flight.endpoint.clone();
-        if is_lost {
-            // The group is taken out as a whole; the endpoint may head another one in a moment.
-            broken.flight.settle();
+        let from = broken.in_flight.endpoint.clone();
+        if is_group_lost {
+            // The whole group is removed, so the endpoint isn't counted as failed: it may soon be the head of
+            // another group.
+            broken.in_flight.mark_ended();
         } else {
-            broken.flight.fail();
+            broken.in_flight.mark_failed();
         }
-        // Its connection is closed first, which frees the endpoint's slot.
+        // Closes the connection first, which frees the endpoint's slot.
         drop(broken);
-        self.attempts.note_broken(from.clone());
-        if !self.call.may_go_on(&self.attempts) {
+        self.attempts.record_incomplete(from.clone());
+        if !self.call.may_retry(&self.attempts) {
             return Err(self.fail(reason));
         }
         let last_event = self.splitter.last_id().map(str::to_owned);
-        let attempt = self.call.attempt(&mut self.attempts, last_event.as_deref());
-        let answered = match attempt.await {
-            Ok(answered) if answered.status.is_success() => answered,
-            Ok(mut answered) => {
-                answered.flight.settle();
-                return Err(self.fail("the endpoint that was to go on refused"));
+        let attempt = self
+            .call
+            .send_with_retries(&mut self.attempts, last_event.as_deref());
+        let received = match attempt.await {
+            Ok(received) if received.status.is_success() => received,
+            Ok(mut received) => {
+                received.in_flight.mark_ended();
+                return Err(self.fail("the endpoint that was asked to resume it refused"));
             }
             Err(refusal) => return Err(self.fail(&format!("{reason}; then: {refusal}"))),
         };
         self.call.beliefs.metrics.count_resumed();
         self.call.beliefs.events.write(&Event::Resumed {
-            request: self.call.asked.id.as_str(),
+            request: self.call.metadata.id.as_str(),
             from: from.as_str(),
-            endpoint: answered.flight.endpoint.as_str(),
+            endpoint: received.in_flight.endpoint.as_str(),
             last_event: last_event.as_deref().unwrap_or_default(),
-            pause_ms: millis(clock::now().since(self.heard_at)),
+            pause_ms: millis(clock::now().since(self.last_data_at)),
         });
-        self.splitter = EventSplitter::after(last_event);
-        self.source = Some(Source::of(answered));
+        self.splitter = EventSplitter::resuming_after(last_event);
+        self.source = Some(Source::new(received));
         Ok(())
     }
 
+    /// Records the stream as complete and returns its connection to the pool.
     fn finish(&mut self) {
         let Some(mut source) = self.source.take() else {
             return;
         };
-        source.flight.succeed();
-        self.call.give_back(source.lease);
+        source.in_flight.mark_succeeded();
+        self.call.return_connection(source.lease);
         let now = clock::now();
         self.call
             .beliefs
@@ -198,43 +207,44 @@
         self.call.beliefs.events.write_success(
             now,
             &Event::Answered {
-                request: self.call.asked.id.as_str(),
-                endpoint: source.flight.endpoint.as_str(),
+                request: self.call.metadata.id.as_str(),
+                endpoint: source.in_flight.endpoint.as_str(),
                 status: self.status,
                 attempts: self.attempts.made,
                 route: &self.call.route.name,
                 first_ms: self.first_ms,
                 pause_ms: millis(self.longest_pause),
-                total_ms: millis(self.call.after()),
+                total_ms: millis(self.call.elapsed()),
             },
         );
     }
 
+    /// Records the stream as broken and returns the error that ends the caller's response.
     fn fail(&mut self, reason: &str) -> BoxError {
         let endpoint = self.source.take().map(|mut source| {
-            source.flight.settle();
-            source.flight.endpoint.clone()
+            source.in_flight.mark_ended();
+            source.in_flight.endpoint.clone()
         });
         self.call
             .beliefs
             .metrics
             .count_answer("broken", self.status);
         self.call.beliefs.events.write(&Event::Broken {
-            request: self.call.asked.id.as_str(),
+            request: self.call.metadata.id.as_str(),
             endpoint: endpoint.as_ref().map_or("", |id| id.as_str()),
             cause: reason,
-            after_ms: millis(self.call.after()),
+            after_ms: millis(self.call.elapsed()),
         });
         format!("the stream broke: {reason}").into()
     }
 }
 
 impl Source {
-    fn of(answered: Answered) -> Self {
+    fn new(received: EndpointResponse) -> Self {
         Self {
-            body: answered.body,
-            lease: answered.lease,
-            flight: answered.flight,
+            body: received.body,
+            lease: received.lease,
+            in_flight: received.in_flight,
         }
     }
 }
--- /dev/null
+++ b/crates/sesamecart-entry/src/traffic/response.rs
@@ -0,0 +1,176 @@
+//! Checks whether an endpoint's response belongs to the request and whether the request ran.
+
+use std::time::Duration;
+
+use bytes::Bytes;
+use http::{Response, StatusCode};
+use sesamecart_edges::{ConnectionLease, Exchange, read_whole};
+use sesamecart_platform::{AnswerHead, NotRun};
+use sesamecart_vocabulary::{Bytes as ByteSize, EndpointId};
+
+use crate::clock;
+use crate::traffic::call::{AttemptError, Call, EndpointResponse};
+use crate::traffic::in_flight::InFlightRequest;
+use crate::traffic::refusal::Refusal;
+use crate::traffic::timeout::MIN_RESPONSE_TIMEOUT;
+
+/// The maximum size of a response that is buffered completely before it is forwarded.
+const MAX_BUFFERED_RESPONSE: ByteSize = ByteSize(16 * 1024 * 1024);
+
+/// Idle connections of all nodes may use `1 / IDLE_CONNECTIONS_DIVISOR` of an endpoint's connections; the
+/// others are left for requests in flight.
+///
+/// Without a limit, idle connections fill up the endpoint, which then resets the connection of the next
+/// request.
+const IDLE_CONNECTIONS_DIVISOR: usize = 2;
+
+/// How long an endpoint is ejected after it rejected a request.
+const REJECTED_EJECTION_TIME: Duration = Duration::from_millis(60);
+
+/// How long an endpoint is ejected after another endpoint responded at its address. The registry shows the
+/// change by then.
+const MISDIRECTED_EJECTION_TIME: Duration = Duration::from_millis(500);
+
+impl Call {
+    /// Checks the head of a response.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the response proves that the request wasn't run, or if it isn't a valid response to this
+    /// request, for example because it belongs to another one.
+    pub(super) async fn check_response(
+        &self,
+        exchange: Exchange,
+        mut in_flight: InFlightRequest,
+    ) -> Result<EndpointResponse, AttemptError> {
+        let (head, body) = exchange.response.into_parts();
+        let response_head = AnswerHead::read(&head);
+        if let Some(load) = response_head.load {
+            let now = clock::now();
+            self.beliefs
+                .loads()
+                .reported(now, &in_flight.endpoint, load);
+        }
+        if let Some(not_run) = response_head.not_run {
+            in_flight.mark_ended();
+            self.eject_rejecting(&in_flight.endpoint, not_run, &response_head);
+            if read_whole(body, MAX_BUFFERED_RESPONSE, MIN_RESPONSE_TIMEOUT)
+                .await
+                .is_ok()
+            {
+                self.return_connection(exchange.lease);
+            }
+            return Err(AttemptError {
+                cause: format!("{not_run} ({})", response_head.status),
+                may_have_run: false,
+            });
+        }
+        let fault = if response_head.request.as_ref() != Some(&self.metadata.id) {
+            Some("the answer belongs to another request")
+        } else if response_head.is_encoded {
+            Some("the answer's body is encoded")
+        } else if implies_not_run(response_head.status) {
+            Some("the answer's status promises what isn't proved")
+        } else if response_head.status.is_success() && !response_head.is_sealed {
+            Some("the answer has no seal")
+        } else {
+            None
+        };
+        if let Some(fault) = fault {
+            in_flight.mark_failed();
+            return Err(AttemptError {
+                cause: format!("{fault} ({})", response_head.status),
+                may_have_run: true,
+            });
+        }
+        in_flight.record_activity();
+        if let Some((_, model)) = self.engine_model() {
+            let time_to_head = in_flight.age();
+            self.beliefs
+                .first_events()
+                .observe(&model.model, time_to_head);
+        }
+        Ok(EndpointResponse {
+            status: response_head.status,
+            headers: head.headers,
+            body,
+            lease: exchange.lease,
+            in_flight,
+        })
+    }
+
+    /// Ejects an endpoint that rejected a request.
+    fn eject_rejecting(&self, endpoint: &EndpointId, not_run: NotRun, response_head: &AnswerHead) {
+        let now = clock::now();
+        let ejection_time = match not_run {
+            NotRun::Misdirected => MISDIRECTED_EJECTION_TIME,
+            NotRun::Full | NotRun::Rejected => REJECTED_EJECTION_TIME,
+        };
+        self.beliefs.loads().eject(now, endpoint, ejection_time);
+        if response_head
+            .at_fault
+            .as_ref()
+            .is_some_and(|id| id != endpoint)
+        {
+            log::debug!(
+                "traffic: {endpoint} rejected a request because of {:?}.",
+                response_head.at_fault
+            );
+        }
+    }
+
+    /// Reads a response completely before it is forwarded.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the body doesn't arrive completely.
+    pub(crate) async fn buffer_response(
+        &self,
+        response: EndpointResponse,
+    ) -> Result<Response<Bytes>, Refusal> {
+        let EndpointResponse {
+            status,
+            headers,
+            body,
+            lease,
+            mut in_flight,
+        } = response;
+        match read_whole(body, MAX_BUFFERED_RESPONSE, self.time_left()).await {
+            Ok(body) => {
+                self.return_connection(lease);
+                if status.is_server_error() {
+                    in_flight.mark_failed();
+                } else {
+                    in_flight.mark_succeeded();
+                }
+                let mut response = Response::new(body);
+                *response.status_mut() = status;
+                *response.headers_mut() = headers;
+                Ok(response)
+            }
+            Err(error) => {
+                in_flight.mark_failed();
+                Err(Refusal::IncompleteResponse(error.to_string()))
+            }
+        }
+    }
+
+    /// Returns a connection to the pool, within this node's share of the endpoint's connections.
+    pub(crate) fn return_connection(&self, lease: ConnectionLease) {
+        let service = self.service().and_then(|id| self.catalog.services.get(id));
+        let max_connections = service.map_or(0, |service| service.max_connections as usize);
+        let nodes = self.beliefs.nodes.load().len();
+        lease.give_back_up_to(max_connections / (nodes.max(1) * IDLE_CONNECTIONS_DIVISOR));
+    }
+}
+
+/// Returns whether a status implies that the request hasn't run.
+fn implies_not_run(status: StatusCode) -> bool {
+    [
+        StatusCode::REQUEST_TIMEOUT,
+        StatusCode::MISDIRECTED_REQUEST,
+        StatusCode::TOO_MANY_REQUESTS,
+        StatusCode::SERVICE_UNAVAILABLE,
+    ]
+    .contains(&status)
+}
--- /dev/null
+++ b/crates/sesamecart-entry/src/traffic/timeout.rs
@@ -0,0 +1,169 @@
+//! Timeouts for one attempt's response.
+
+use std::time::Duration;
+
+use futures_lite::future;
+use sesamecart_edges::{ClientError, Exchange, Reuse, Sent};
+use sesamecart_fleet::{Delivery, Endpoint};
+use sesamecart_platform::{Handover, forward};
+use sesamecart_runtime::sleep;
+
+use crate::clock;
+use crate::follower::millis;
+use crate::traffic::call::{AttemptError, Attempts, Call};
+use crate::traffic::in_flight::InFlightRequest;
+use crate::traffic::placement::ColdEndpointPolicy;
+
+/// The response timeout of an idempotent request as a multiple of its route's latency target. After this
+/// time, another endpoint is tried.
+const TIMEOUT_FACTOR: u32 = 2;
+
+/// The minimum response timeout, because short requests occasionally take several times their mean duration.
+pub(super) const MIN_RESPONSE_TIMEOUT: Duration = Duration::from_millis(150);
+
+/// How often the node checks again whether a stream without a first event would start sooner at another head.
+const RECHECK_INTERVAL: Duration = Duration::from_millis(200);
+
+/// How the wait for a response's head ended.
+enum WaitOutcome {
+    Response(Result<Exchange, ClientError>),
+    GroupLost,
+    TimedOut(FirstEventTimeout),
+}
+
+/// A timeout while waiting for a stream's first event.
+struct FirstEventTimeout {
+    waited: Duration,
+    /// Whether the head sent data for other requests in the meantime.
+    is_head_active: bool,
+}
+
+impl FirstEventTimeout {
+    fn to_error(&self, endpoint: &Endpoint) -> AttemptError {
+        let ms = millis(self.waited);
+        AttemptError {
+            cause: format!("{}: request: no first event in {ms} ms", endpoint.address),
+            may_have_run: true,
+        }
+    }
+}
+
+impl Call {
+    /// Sends the request to an endpoint and waits for the head of the response.
+    ///
+    /// # Errors
+    ///
+    /// Returns the failure and whether the endpoint is at fault.
+    pub(super) async fn send_request(
+        &self,
+        endpoint: &Endpoint,
+        in_flight: &mut InFlightRequest,
+        attempts: &Attempts,
+        last_event: Option<&str>,
+    ) -> Result<Exchange, (AttemptError, bool)> {
+        let handover = Handover {
+            endpoint: &endpoint.id,
+            customer: self.customer.as_deref(),
+            left: self.caller_time_left(),
+            priority: self.priority(),
+            last_event,
+        };
+        let req = forward(&self.head, &self.body, &handover);
+        let reuse = if self.route.delivery.may_repeat() {
+            Reuse::Allowed
+        } else {
+            // The endpoint may close an idle connection while the request is being written. It would then
+            // be unknown whether the request ran.
+            Reuse::Never
+        };
+        let timeout = self.response_timeout();
+        let response = self.client.send(endpoint.address, req, reuse, timeout);
+        let group_lost = in_flight.group_lost();
+        let first_event_timeout = self.first_event_timeout(endpoint, attempts);
+        let raced = future::or(async { WaitOutcome::Response(response.await) }, async {
+            group_lost.await;
+            WaitOutcome::GroupLost
+        });
+        let raced = future::or(raced, async {
+            WaitOutcome::TimedOut(first_event_timeout.await)
+        });
+        match raced.await {
+            WaitOutcome::Response(Ok(exchange)) => Ok(exchange),
+            WaitOutcome::Response(Err(client_error)) => {
+                let error = AttemptError {
+                    may_have_run: client_error.sent == Sent::Maybe,
+                    cause: client_error.to_string(),
+                };
+                // The endpoint isn't at fault if the caller set a short timeout.
+                let is_past_deadline = self.time_left().is_zero();
+                Err((error, !is_past_deadline))
+            }
+            WaitOutcome::GroupLost => {
+                let error = AttemptError {
+                    may_have_run: true,
+                    cause: "its group has lost a member".to_owned(),
+                };
+                Err((error, false))
+            }
+            WaitOutcome::TimedOut(timeout) => {
+                Err((timeout.to_error(endpoint), !timeout.is_head_active))
+            }
+        }
+    }
+
+    /// Returns the timeout for one attempt's response.
+    fn response_timeout(&self) -> Duration {
+        let time_left = self.time_left();
+        let target = self.route.latency_aim.unwrap_or(MIN_RESPONSE_TIMEOUT);
+        match self.route.delivery {
+            Delivery::Idempotent => {
+                time_left.min(MIN_RESPONSE_TIMEOUT.max(target * TIMEOUT_FACTOR))
+            }
+            Delivery::Stream { .. } | Delivery::AtMostOnce => time_left,
+        }
+    }
+
+    /// Waits until a stream's first event is so late that another head should be tried.
+    ///
+    /// While all heads are busy, another one is unlikely to start the stream sooner, and the prompt would be
+    /// processed twice. The request then stays where it is.
+    async fn first_event_timeout(
+        &self,
+        endpoint: &Endpoint,
+        attempts: &Attempts,
+    ) -> FirstEventTimeout {
+        let sent_at = clock::now();
+        let model = self.engine_model().map(|(_, model)| &model.model);
+        let is_resumable = matches!(self.route.delivery, Delivery::Stream { resumable: true });
+        let (Some(model), true) = (model, is_resumable) else {
+            return future::pending().await;
+        };
+        let timeout = self.beliefs.first_events().timeout(model);
+        sleep(timeout).await;
+        let mut tried = attempts.clone();
+        tried.tried.push(endpoint.id.clone());
+        loop {
+            let is_head_active = self.beliefs.loads().is_heard_since(sent_at, &endpoint.id);
+            if !is_head_active || self.has_faster_head(&tried) {
+                if is_head_active {
+                    self.beliefs.first_events().expire(model);
+                }
+                let waited = clock::now().since(sent_at);
+                return FirstEventTimeout {
+                    waited,
+                    is_head_active,
+                };
+            }
+            sleep(RECHECK_INTERVAL).await;
+        }
+    }
+
+    /// Returns whether an untried head has a free slot and the retry budget allows sending this request
+    /// there.
+    fn has_faster_head(&self, tried: &Attempts) -> bool {
+        let placement = self.place(tried, ColdEndpointPolicy::Skip);
+        placement.is_ok_and(|placement| {
+            placement.load < 1.0 && self.beliefs.has_retry(&placement.service)
+        })
+    }
+}
