--- a/crates/sesamecart-fleet/examples/plan.rs
+++ b/crates/sesamecart-fleet/examples/plan.rs
@@ -1,8 +1,8 @@
-//! Measures how long a plan takes, by the number of engines: `cargo run --release -p sesamecart-fleet
-//! --example plan`.
+//! Measures the duration of a planning pass by the number of engines: `cargo run --release -p
+//! sesamecart-fleet --example plan`.
 //!
-//! The controller plans after each change of the registry, on a VM that may have an eighth of a core.
-//! docs/CAPACITY.md has the figures.
+//! The controller plans after each change of the registry, on a VM that may have only an eighth of a core.
+//! docs/CAPACITY.md lists the results.
 
 use std::time::{Duration, Instant};
 
@@ -12,10 +12,10 @@
 };
 use sesamecart_vocabulary::{ServiceId, Timestamp};
 
-/// Plans that are measured at each size.
+/// The number of plans measured for each fleet.
 const ROUNDS: u32 = 50;
 
-/// Engines, those of one fabric domain, and the sizes of the two models' groups.
+/// The number of engines, the engines in one fabric domain, and the group sizes of the two models.
 const FLEETS: [(usize, usize, usize, usize); 6] = [
     (54, 9, 4, 3),
     (222, 37, 16, 4),
@@ -52,18 +52,18 @@
         in_traffic,
         demand: None,
     };
-    let mut taken: Vec<Duration> = (0..ROUNDS)
+    let mut durations: Vec<Duration> = (0..ROUNDS)
         .map(|_| {
             let mut planner = Planner::new(Fence(1), 0);
-            let begun = Instant::now();
+            let start = Instant::now();
             let steps = planner.plan(Timestamp(10_000_000), &input);
-            let taken = begun.elapsed();
+            let duration = start.elapsed();
             drop(steps);
-            taken
+            duration
         })
         .collect();
-    taken.sort();
-    taken[taken.len() / 2]
+    durations.sort();
+    durations[durations.len() / 2]
 }
 
 fn spec(large: usize, small: usize) -> EngineSpec {
@@ -84,7 +84,8 @@
     }
 }
 
-/// A fleet whose domains serve one model each, in groups of the sizes given; empty where they are 0.
+/// Builds a fleet in which each domain serves one model in groups of the given sizes, or in which all engines
+/// are empty if the sizes are 0.
 fn fleet(
     engines: usize,
     domain: usize,
--- a/crates/sesamecart-fleet/src/planner.rs
+++ b/crates/sesamecart-fleet/src/planner.rs
@@ -1,9 +1,10 @@
-//! Which engines form which groups, and what is loaded ahead.
+//! Decides which engines form which groups and which models are loaded in advance.
 //!
-//! It answers engines that are lost in pairs every few seconds while empty ones come as often, and a
-//! start at which all engines are empty. Loads are scarce (a few at once, seconds each), so a group is
-//! made of the engines that are ready soonest, and each fabric domain is kept to one model: survivors
-//! of two broken groups then fit together. docs/design/platform-run.md has the ways weighed.
+//! The planner has to cope with engines that are lost in pairs every few seconds while empty ones arrive at
+//! the same rate, and with a cold start in which every engine is empty. Model loads are scarce (a few at
+//! once, seconds each), so a group is formed from the engines that are ready soonest. Each fabric domain is
+//! assigned to one model, so that the survivors of two broken groups can form a new group together.
+//! docs/design/platform-run.md compares the alternatives.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -19,8 +20,8 @@
 use crate::number::Fence;
 use crate::planner::conversion::Conversions;
 use crate::planner::domain_sizes::DomainSizes;
-use crate::planner::engine::{engines, group_size, holds, state_in};
-use crate::planner::loading::LOAD_WINDOW;
+use crate::planner::engine::{engines, group_size, holds, member_state};
+use crate::planner::loading::LOAD_RATE_WINDOW;
 pub use crate::planner::summary::ModelSummary;
 
 mod assignment;
@@ -29,7 +30,7 @@
 mod domains;
 mod engine;
 mod forming;
-mod left_over;
+mod leftover;
 mod loading;
 mod provisioning;
 mod reservation;
@@ -37,131 +38,137 @@
 #[cfg(test)]
 mod tests;
 
-/// How long the joins of a group may take beyond what its slowest member needs.
-const JOIN_SLACK: Duration = Duration::from_millis(2_500);
+/// Time a formation gets beyond the expected join time of its slowest member, and time its head gets to open.
+const JOIN_TIMEOUT_MARGIN: Duration = Duration::from_millis(2_500);
 
-/// How long members of a formation that failed are left alone.
-const REST_AFTER_FAILURE: Duration = Duration::from_millis(400);
+/// How long the members of a failed formation are excluded from new groups.
+const FAILED_FORMATION_QUARANTINE: Duration = Duration::from_millis(400);
 
-/// How often a group that looks unsound is examined.
-const EXAMINE_EVERY: Duration = Duration::from_millis(400);
+/// Minimum interval between two examinations of a group that looks unsound, and between repeated steps that
+/// close or dissolve the same group.
+const EXAMINATION_INTERVAL: Duration = Duration::from_millis(400);
 
-/// How much longer a group whose head can't be reached is left alone; a cut lasts seconds.
-const UNREACHABLE_REST: Duration = Duration::from_millis(1_200);
+/// Extra delay before a group with an unreachable head is examined again. A network partition lasts for
+/// seconds.
+const UNREACHABLE_HEAD_COOLDOWN: Duration = Duration::from_millis(1_200);
 
-/// How far a group that is being formed is.
+/// The phase of a group formation.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Progress {
-    /// The members were told to join.
+enum Phase {
+    /// The members have been asked to join.
     Joining,
-    /// The head was told to open.
+    /// The head has been asked to open.
     Opening,
 }
 
 /// A group that is being formed.
 #[derive(Clone, Debug)]
 pub struct Formation {
-    /// Which membership.
+    /// The group and the epoch of its membership.
     pub key: GroupKey,
-    /// The model.
+    /// The model that the group will serve.
     pub model: ModelId,
-    /// The members; the first one is the head.
+    /// The members in rank order. The first one is the head.
     pub members: Vec<EndpointId>,
-    progress: Progress,
-    give_up_at: Timestamp,
+    phase: Phase,
+    deadline: Timestamp,
 }
 
-/// What the controller has to do next.
+/// An action for the controller to carry out.
 #[derive(Clone, Debug)]
 pub enum Step {
-    /// Tell all members to join.
+    /// Ask all members to join.
     Join(Formation),
-    /// Tell the head to open.
+    /// Ask the head to open.
     Open(Formation),
-    /// Load a model onto an engine's host.
+    /// Load a model onto the host of an engine.
     Stage {
         /// The engine.
         endpoint: EndpointId,
         /// The model.
         model: ModelId,
     },
-    /// Ask a group's members whether it is sound.
+    /// Ask the members of a group whether the group is sound.
     Examine(GroupKey),
-    /// Take a group apart that nobody forms any more; its head isn't open.
+    /// Dissolve a group whose formation nobody is driving. Its head isn't open.
     Dissolve(GroupKey),
-    /// Let the head take no more requests and end those it has: a member is about to leave.
+    /// Ask the head to stop taking requests and to finish those in flight, because a member is about to
+    /// leave.
     Close(GroupKey),
-    /// The same for a group whose engines serve more in groups of another model.
+    /// Close a group, as [`Step::Close`] does, because its engines are worth more in groups of another model.
     Retire {
         /// The group.
         key: GroupKey,
-        /// Its model.
+        /// The model that the group serves.
         from: ModelId,
-        /// The model that gets its engines.
+        /// The model that its engines will be loaded with.
         to: ModelId,
     },
 }
 
-/// What a plan is made from.
+/// The input of one planning pass.
 #[derive(Debug)]
 pub struct PlannerInput<'a> {
     /// The service whose engines are planned.
     pub service: &'a ServiceId,
-    /// How its engines work.
+    /// The models, slots and load limits of its engines.
     pub spec: &'a EngineSpec,
-    /// All endpoints.
+    /// All known endpoints.
     pub directory: &'a Directory,
-    /// Whether requests have come: from then on loads take their full time and are limited.
+    /// Whether the first request has arrived. From then on, loads take their full time and are rate-limited.
     pub in_traffic: bool,
-    /// What callers ask of each model, once that is known.
+    /// The observed demand for each model, once it is known.
     pub demand: Option<&'a Demand>,
 }
 
-/// A load that was begun.
+/// A model load that has been started.
 #[derive(Clone, Debug)]
 struct Load {
     model: ModelId,
-    /// When it counts as failed, if the engine hasn't reported the model by then.
-    give_up_at: Timestamp,
+    /// When the load counts as failed if the engine hasn't reported the model.
+    deadline: Timestamp,
 }
 
-/// Plans the groups of one service, under one fence.
+/// Plans the groups of one service, under one fencing token.
 #[derive(Debug)]
 pub struct Planner {
     fence: Fence,
-    formed: u64,
-    primaries: IndexMap<FabricDomainId, ModelId>,
-    sizes: DomainSizes,
-    /// The domains whose engines hold or load anything.
-    begun: IndexSet<FabricDomainId>,
+    formed_count: u64,
+    /// The model assigned to each fabric domain.
+    domain_models: IndexMap<FabricDomainId, ModelId>,
+    domain_sizes: DomainSizes,
+    /// The domains in which some engine holds or loads a model.
+    active_domains: IndexSet<FabricDomainId>,
     formations: IndexMap<GroupKey, Formation>,
-    /// The loads that this controller began.
+    /// The loads in progress that this controller started.
     loading: IndexMap<EndpointId, Load>,
-    starts: VecDeque<Timestamp>,
-    /// Engines that may not join anything before a time.
+    /// When the loads within the last [`LOAD_RATE_WINDOW`] were started.
+    recent_load_starts: VecDeque<Timestamp>,
+    /// Engines that may not join a group, and until when.
     quarantined: IndexMap<EndpointId, Timestamp>,
+    /// When each group was last examined, closed or dissolved. A time in the future delays the next attempt.
     examined: IndexMap<GroupKey, Timestamp>,
-    /// Groups that were found lost, whose members' entries may still name them.
+    /// Groups that were dissolved. The registry entries of their members may still name them.
     dissolved: IndexSet<GroupKey>,
-    /// Engines that are kept for groups of a model which isn't their fabric domain's.
+    /// Engines reserved for groups of a model other than the one assigned to their fabric domain.
     reserved: IndexMap<EndpointId, ModelId>,
     conversions: Conversions,
 }
 
 impl Planner {
-    /// Makes a planner for a controller that has just been given `fence`; `formed` groups have got
-    /// names under it already.
+    /// Creates a planner for a controller that has just been granted `fence`. `formed_count` is the
+    /// number of groups already named under that fencing token.
     #[must_use]
-    pub fn new(fence: Fence, formed: u64) -> Self {
+    pub fn new(fence: Fence, formed_count: u64) -> Self {
         Self {
             fence,
-            formed,
-            primaries: IndexMap::new(),
-            sizes: DomainSizes::default(),
-            begun: IndexSet::new(),
+            formed_count,
+            domain_models: IndexMap::new(),
+            domain_sizes: DomainSizes::default(),
+            active_domains: IndexSet::new(),
             formations: IndexMap::new(),
             loading: IndexMap::new(),
-            starts: VecDeque::new(),
+            recent_load_starts: VecDeque::new(),
             quarantined: IndexMap::new(),
             examined: IndexMap::new(),
             dissolved: IndexSet::new(),
@@ -170,97 +177,100 @@
         }
     }
 
-    /// Returns how many groups have got names.
+    /// Returns the number of groups that have been named under the current fencing token.
     #[must_use]
     pub const fn formed(&self) -> u64 {
-        self.formed
+        self.formed_count
     }
 
-    /// Returns whether groups are being formed.
+    /// Returns whether any group is being formed.
     #[must_use]
     pub fn is_forming(&self) -> bool {
         !self.formations.is_empty()
     }
 
-    /// Returns whether a group was taken apart.
+    /// Returns whether a group has been dissolved.
     #[must_use]
     pub fn is_dissolved(&self, key: &GroupKey) -> bool {
         self.dissolved.contains(key)
     }
 
-    /// Keeps an engine from joining anything before `until`.
+    /// Keeps an engine from joining any group before `until`.
     pub fn quarantine(&mut self, endpoint: EndpointId, until: Timestamp) {
-        let held = self.quarantined.entry(endpoint).or_default();
-        *held = (*held).max(until);
+        let current = self.quarantined.entry(endpoint).or_default();
+        *current = (*current).max(until);
     }
 
-    /// Notes that a group's head couldn't be told to leave; it is examined again after a while.
+    /// Records that the head of a group couldn't be asked to leave, which delays the next examination of the
+    /// group.
     ///
-    /// Where a failure domain is cut off, nobody there can be told anything, and its groups serve on
-    /// for callers on the other side. Members that still show the group aren't free, however long
-    /// they were silent: joined to others when the cut heals, they would be in two groups at once.
+    /// When a failure domain is partitioned, none of its engines can be reached, but its groups keep serving
+    /// callers on their side of the partition. Members that still report the group aren't free, however long
+    /// they have been silent: if they joined other groups, they would be in two groups at once when the
+    /// partition heals.
     pub fn rest_examination(&mut self, key: &GroupKey, now: Timestamp) {
-        self.examined.insert(key.clone(), now + UNREACHABLE_REST);
+        self.examined
+            .insert(key.clone(), now + UNREACHABLE_HEAD_COOLDOWN);
     }
 
-    /// Notes that a group was taken apart, so that its members may join others.
+    /// Records that a group was dissolved, so that its members may join other groups.
     pub fn dissolved(&mut self, key: &GroupKey) {
         self.formations.swap_remove(key);
         self.dissolved.insert(key.clone());
     }
 
-    /// Notes that a formation won't come about; its members rest for a while.
+    /// Abandons a formation and quarantines its members for a while.
     ///
-    /// Some may have joined and the head may even have opened, so the group isn't taken for gone: it
-    /// is taken apart like any group that nobody forms.
+    /// Some members may have joined, and the head may even have opened. The group therefore isn't assumed to
+    /// be gone: it is dissolved like any other group whose formation nobody is driving.
     pub fn abandon(&mut self, key: &GroupKey, now: Timestamp) {
         let Some(formation) = self.formations.swap_remove(key) else {
             return;
         };
         for member in formation.members {
             self.loading.swap_remove(&member);
-            self.quarantine(member, now + REST_AFTER_FAILURE);
+            self.quarantine(member, now + FAILED_FORMATION_QUARANTINE);
         }
     }
 
-    /// Notes that an engine's load didn't begin.
+    /// Records that the load of an engine wasn't started.
     pub fn not_loading(&mut self, endpoint: &EndpointId) {
         self.loading.swap_remove(endpoint);
     }
 
-    /// Returns what to do now.
+    /// Returns the actions to take now.
     pub fn plan(&mut self, now: Timestamp, input: &PlannerInput<'_>) -> Vec<Step> {
-        self.tidy(now, input);
+        self.prune(now, input);
         self.assign_domains(now, input);
         let mut steps = Vec::new();
-        self.follow_formations(now, input, &mut steps);
-        let occupied = self.follow_groups(now, input, &mut steps);
-        let mut free = self.free(now, input, &occupied);
+        self.advance_formations(now, input, &mut steps);
+        let grouped = self.reconcile_groups(now, input, &mut steps);
+        let mut free = self.free_engines(now, input, &grouped);
         self.convert(now, input, &free, &mut steps);
-        self.form(now, input, &mut free, &mut steps);
-        self.stage(now, input, &free, &mut steps);
+        self.form_groups(now, input, &mut free, &mut steps);
+        self.stage_models(now, input, &free, &mut steps);
         steps
     }
 
-    fn tidy(&mut self, now: Timestamp, input: &PlannerInput<'_>) {
+    fn prune(&mut self, now: Timestamp, input: &PlannerInput<'_>) {
         let directory = input.directory;
         self.quarantined.retain(|_, until| *until > now);
         self.loading.retain(|id, load| {
             let engine = directory.find(id).filter(|_| directory.is_listed(id));
             let is_loading = |engine: &Arc<Endpoint>| !holds(engine, &load.model);
-            load.give_up_at > now && engine.is_some_and(is_loading)
+            load.deadline > now && engine.is_some_and(is_loading)
         });
-        self.tidy_reserved(directory);
-        while let Some(first) = self.starts.front() {
-            if now.since(*first) < LOAD_WINDOW {
+        self.prune_reservations(directory);
+        while let Some(first) = self.recent_load_starts.front() {
+            if now.since(*first) < LOAD_RATE_WINDOW {
                 break;
             }
-            self.starts.pop_front();
+            self.recent_load_starts.pop_front();
         }
     }
 
-    /// Opens formations that are ready and gives up those that take too long.
-    fn follow_formations(
+    /// Opens formations whose members are all ready and abandons those that have timed out.
+    fn advance_formations(
         &mut self,
         now: Timestamp,
         input: &PlannerInput<'_>,
@@ -271,23 +281,23 @@
             let states: Vec<Option<GroupState>> = formation
                 .members
                 .iter()
-                .map(|id| state_in(input.directory, id, key))
+                .map(|id| member_state(input.directory, id, key))
                 .collect();
             if states.first() == Some(&Some(GroupState::Open)) {
                 ended.push((key.clone(), false));
                 continue;
             }
             let ready = states.iter().all(|state| *state == Some(GroupState::Ready));
-            if ready && formation.progress == Progress::Joining {
-                formation.progress = Progress::Opening;
-                formation.give_up_at = now + JOIN_SLACK;
+            if ready && formation.phase == Phase::Joining {
+                formation.phase = Phase::Opening;
+                formation.deadline = now + JOIN_TIMEOUT_MARGIN;
                 steps.push(Step::Open(formation.clone()));
-            } else if now > formation.give_up_at {
+            } else if now > formation.deadline {
                 ended.push((key.clone(), true));
             }
         }
-        for (key, gave_up) in ended {
-            if gave_up {
+        for (key, timed_out) in ended {
+            if timed_out {
                 self.abandon(&key, now);
             } else {
                 self.formations.swap_remove(&key);
@@ -295,8 +305,8 @@
         }
     }
 
-    /// Looks after the groups that exist; returns the engines that belong to one.
-    fn follow_groups(
+    /// Plans actions for existing groups and returns the engines that belong to one.
+    fn reconcile_groups(
         &mut self,
         now: Timestamp,
         input: &PlannerInput<'_>,
@@ -305,57 +315,59 @@
         let size = |model: &ModelId| group_size(input.spec, model);
         let groups = input.directory.groups(input.service, size);
         self.dissolved.retain(|key| groups.contains_key(key));
-        self.conversions.forget(now, |key| groups.contains_key(key));
-        let mut occupied = IndexSet::new();
+        self.conversions.prune(now, |key| groups.contains_key(key));
+        let mut grouped = IndexSet::new();
         for (key, group) in &groups {
             if self.dissolved.contains(key) || self.formations.contains_key(key) {
                 continue;
             }
             let members = group.members.iter().flatten();
-            occupied.extend(members.map(|member| member.id.clone()));
+            grouped.extend(members.map(|member| member.id.clone()));
             match group.head_state() {
                 Some(GroupState::Open) if group.is_sound => {
-                    if self.conversions.retires(key) && self.may_examine(now, key) {
+                    if self.conversions.is_retiring(key) && self.begin_step_if_due(now, key) {
                         steps.push(Step::Close(key.clone()));
                     }
                 }
-                Some(GroupState::Open) if leaves(input.directory, group) => {
-                    if self.may_examine(now, key) {
+                Some(GroupState::Open) if are_all_members_listed(input.directory, group) => {
+                    if self.begin_step_if_due(now, key) {
                         steps.push(Step::Close(key.clone()));
                     }
                 }
                 Some(GroupState::Joining | GroupState::Ready) => {
-                    if self.may_examine(now, key) {
+                    if self.begin_step_if_due(now, key) {
                         steps.push(Step::Dissolve(key.clone()));
                     }
                 }
-                // It ends the requests that it has.
-                Some(GroupState::Closing) if self.conversions.retires(key) => {}
+                // The head is finishing its requests in flight.
+                Some(GroupState::Closing) if self.conversions.is_retiring(key) => {}
                 Some(GroupState::Open | GroupState::Closing | GroupState::Broken) | None => {
-                    if self.may_examine(now, key) {
+                    if self.begin_step_if_due(now, key) {
                         steps.push(Step::Examine(key.clone()));
                     }
                 }
             }
         }
-        self.examined.retain(|_, at| now.since(*at) < EXAMINE_EVERY);
-        occupied
+        self.examined
+            .retain(|_, at| now.since(*at) < EXAMINATION_INTERVAL);
+        grouped
     }
 
-    fn may_examine(&mut self, now: Timestamp, key: &GroupKey) -> bool {
-        let lately = self.examined.get(key);
-        if lately.is_some_and(|at| now < *at + EXAMINE_EVERY) {
+    /// Returns whether the next step for an existing group is due and, if so, records it as made now.
+    fn begin_step_if_due(&mut self, now: Timestamp, key: &GroupKey) -> bool {
+        let last = self.examined.get(key);
+        if last.is_some_and(|at| now < *at + EXAMINATION_INTERVAL) {
             return false;
         }
         self.examined.insert(key.clone(), now);
         true
     }
 
-    fn free<'a>(
+    fn free_engines<'a>(
         &self,
         now: Timestamp,
         input: &PlannerInput<'a>,
-        occupied: &IndexSet<EndpointId>,
+        grouped: &IndexSet<EndpointId>,
     ) -> IndexMap<FabricDomainId, Vec<&'a Arc<Endpoint>>> {
         let forming: IndexSet<&EndpointId> = self
             .formations
@@ -364,16 +376,16 @@
             .collect();
         let mut free: IndexMap<FabricDomainId, Vec<&Arc<Endpoint>>> = IndexMap::new();
         for engine in engines(input) {
-            let held = self
+            let is_quarantined = self
                 .quarantined
                 .get(&engine.id)
                 .is_some_and(|until| *until > now);
-            let taken = forming.contains(&engine.id) || occupied.contains(&engine.id);
-            if held || taken || engine.state != EndpointState::Ready {
+            let is_taken = forming.contains(&engine.id) || grouped.contains(&engine.id);
+            if is_quarantined || is_taken || engine.state != EndpointState::Ready {
                 continue;
             }
             if let Some(domain) = &engine.fabric_domain
-                && self.may_begin(now, input, domain)
+                && self.may_form_groups(now, input, domain)
             {
                 free.entry(domain.clone()).or_default().push(engine);
             }
@@ -383,8 +395,9 @@
     }
 }
 
-/// Returns whether all that is wrong with a group is that members are about to leave.
-fn leaves(directory: &Directory, group: &crate::directory::GroupView) -> bool {
+/// Returns whether every member of an unsound group is still listed, so that the group is unsound only
+/// because some of them are about to leave.
+fn are_all_members_listed(directory: &Directory, group: &crate::directory::GroupView) -> bool {
     group.members.iter().all(|member| {
         let member = member.as_ref();
         member.is_some_and(|member| directory.is_listed(&member.id))
--- a/crates/sesamecart-fleet/src/planner/assignment.rs
+++ b/crates/sesamecart-fleet/src/planner/assignment.rs
@@ -1,8 +1,8 @@
-//! Which of the models that fabric domains are to serve goes to which domain.
+//! Distributes models across fabric domains so that they survive the loss of a failure domain.
 //!
-//! It answers the loss, the evacuation or the cut of a failure domain. How many domains each model gets is
-//! settled before; here they change places until the model that is left with the least keeps the most
-//! when any one failure domain is gone.
+//! A failure domain can be lost, evacuated or partitioned. How many domains each model gets is already
+//! decided. This module swaps the models of domains until the model with the least remaining capacity keeps
+//! as much as possible when any one failure domain is gone.
 
 use indexmap::{IndexMap, IndexSet};
 use sesamecart_vocabulary::{FabricDomainId, FailureDomainId, ModelId};
@@ -13,65 +13,69 @@
 #[cfg(test)]
 mod tests;
 
-/// The ways to deal domains out that are tried one by one; a plan has to end within some milliseconds.
-const MAX_WAYS: usize = 4_096;
+/// The largest number of assignments for which all are tried. A planning pass has to finish within a few
+/// milliseconds.
+const MAX_ASSIGNMENTS: usize = 4_096;
 
-/// A fabric domain and the model that it is to serve.
+/// A fabric domain and the model assigned to it.
 #[derive(Clone, Debug)]
 pub(super) struct Placement<'a> {
     pub(super) domain: &'a FabricDomainId,
     pub(super) failure_domain: &'a FailureDomainId,
-    /// Its engines.
+    /// The number of engines in the domain.
     pub(super) engines: usize,
     pub(super) model: &'a EngineModel,
-    /// The models that it may serve instead; none where its engines hold one already.
-    pub(super) choices: Vec<&'a EngineModel>,
+    /// The models that can be assigned to the domain; empty if its engines already hold one.
+    pub(super) candidates: Vec<&'a EngineModel>,
 }
 
 impl Placement<'_> {
-    /// Counts the engines that serve in whole groups of its model.
+    /// Returns the number of engines that are members of whole groups of the model.
     fn engines_in_groups(&self) -> usize {
         let group_size = self.model.group_size;
         self.engines / group_size.max(1) * group_size
     }
 
-    fn allows(&self, model: &EngineModel) -> bool {
-        let mut choices = self.choices.iter();
-        choices.any(|choice| choice.model == model.model)
+    fn can_serve(&self, model: &EngineModel) -> bool {
+        let mut candidates = self.candidates.iter();
+        candidates.any(|candidate| candidate.model == model.model)
     }
 }
 
-/// Exchanges the models of pairs of domains for as long as that leaves more after a loss.
+/// Swaps the models of pairs of domains for as long as that leaves more capacity after a loss.
 ///
-/// A model that one failure domain takes away altogether gets another domain first, where that takes no
-/// other model away: how many domains each gets doesn't matter to callers who reach none.
-pub(super) fn spread<'a>(spec: &'a EngineSpec, placements: &mut [Placement<'a>]) {
-    save_models(spec, placements);
-    exchange_models(spec, placements);
-    if models_lost(spec, placements) > 0 {
-        save_models(spec, placements);
-        try_all_ways(spec, placements);
-        exchange_models(spec, placements);
+/// First, a model that the loss of one failure domain would remove entirely gets another domain, provided
+/// that this removes no other model. Callers who can't reach a model at all don't benefit from the number of
+/// its domains.
+pub(super) fn spread_models<'a>(spec: &'a EngineSpec, placements: &mut [Placement<'a>]) {
+    rescue_models(spec, placements);
+    swap_models(spec, placements);
+    if count_lost_models(spec, placements) > 0 {
+        rescue_models(spec, placements);
+        try_all_assignments(spec, placements);
+        swap_models(spec, placements);
     }
 }
 
-/// Deals the domains out in every way, if there are few, and takes the one that saves the most models.
+/// Tries every assignment, if there are few, and takes the one in which the most models survive a loss.
 ///
-/// Single changes and exchanges can end where each would take a model away to save another one, though a few
-/// of them together save both.
-fn try_all_ways(spec: &EngineSpec, placements: &mut [Placement<'_>]) {
-    let choices = placements.iter().map(|placement| placement.choices.len());
-    let ways = choices.fold(1_usize, |ways, choices| ways.saturating_mul(choices.max(1)));
-    let mut fewest_lost = models_lost(spec, placements);
-    if ways > MAX_WAYS || fewest_lost == 0 {
+/// Single reassignments and swaps can get stuck where each of them would remove one model to save another,
+/// although a combination of them saves both.
+fn try_all_assignments(spec: &EngineSpec, placements: &mut [Placement<'_>]) {
+    let candidates = placements
+        .iter()
+        .map(|placement| placement.candidates.len());
+    let assignment_count = candidates.fold(1_usize, |count, len| count.saturating_mul(len.max(1)));
+    let mut fewest_lost = count_lost_models(spec, placements);
+    if assignment_count > MAX_ASSIGNMENTS || fewest_lost == 0 {
         return;
     }
-    let served = models_served(spec, placements);
+    let served = count_served_models(spec, placements);
     let mut best: Vec<&EngineModel> = placements.iter().map(|placement| placement.model).collect();
-    for way in 0..ways {
-        deal_out(placements, way);
-        let lost = models_lost(spec, placements);
-        if lost < fewest_lost && models_served(spec, placements) >= served {
+    for number in 0..assignment_count {
+        apply_assignment(placements, number);
+        let lost = count_lost_models(spec, placements);
+        if lost < fewest_lost && count_served_models(spec, placements) >= served {
             fewest_lost = lost;
             best = placements.iter().map(|placement| placement.model).collect();
         }
@@ -81,49 +85,50 @@
     }
 }
 
-/// Gives each domain the choice that a number stands for, as digits of a mixed base.
-fn deal_out(placements: &mut [Placement<'_>], mut way: usize) {
+/// Applies the assignment with the given number, whose digits in a mixed radix select a candidate for each
+/// domain.
+fn apply_assignment(placements: &mut [Placement<'_>], mut number: usize) {
     for placement in placements {
-        let choices = placement.choices.len();
-        if choices > 0 {
-            placement.model = placement.choices[way % choices];
-            way /= choices;
+        let candidates = placement.candidates.len();
+        if candidates > 0 {
+            placement.model = placement.candidates[number % candidates];
+            number /= candidates;
         }
     }
 }
 
-/// Gives domains to models that the loss of one failure domain would take away.
-fn save_models(spec: &EngineSpec, placements: &mut [Placement<'_>]) {
-    let mut lost = models_lost(spec, placements);
+/// Reassigns domains to models that the loss of one failure domain would remove entirely.
+fn rescue_models(spec: &EngineSpec, placements: &mut [Placement<'_>]) {
+    let mut lost = count_lost_models(spec, placements);
     while lost > 0 {
-        let changes: Vec<(usize, &EngineModel)> = placements
+        let reassignments: Vec<(usize, &EngineModel)> = placements
             .iter()
             .enumerate()
             .flat_map(|(index, placement)| {
-                let choices = placement.choices.iter();
-                choices.map(move |choice| (index, *choice))
+                let candidates = placement.candidates.iter();
+                candidates.map(move |candidate| (index, *candidate))
             })
             .collect();
-        let better = changes.into_iter().find(|(index, model)| {
-            let before = std::mem::replace(&mut placements[*index].model, model);
-            let is_better = models_lost(spec, placements) < lost
+        let improvement = reassignments.into_iter().find(|(index, model)| {
+            let previous = std::mem::replace(&mut placements[*index].model, model);
+            let is_better = count_lost_models(spec, placements) < lost
                 && placements
                     .iter()
-                    .any(|other| other.model.model == before.model);
+                    .any(|other| other.model.model == previous.model);
             if !is_better {
-                placements[*index].model = before;
+                placements[*index].model = previous;
             }
             is_better
         });
-        if better.is_none() {
+        if improvement.is_none() {
             return;
         }
-        lost = models_lost(spec, placements);
+        lost = count_lost_models(spec, placements);
     }
 }
 
-/// Counts the models that have a domain.
-fn models_served(spec: &EngineSpec, placements: &[Placement<'_>]) -> usize {
+/// Counts the models that have at least one domain.
+fn count_served_models(spec: &EngineSpec, placements: &[Placement<'_>]) -> usize {
     let served = spec.models.iter().filter(|model| {
         let mut placements = placements.iter();
         placements.any(|placement| placement.model.model == model.model)
@@ -131,29 +136,32 @@
     served.count()
 }
 
-/// Counts the models that the loss of one failure domain would take away.
-fn models_lost(spec: &EngineSpec, placements: &[Placement<'_>]) -> usize {
-    let left = left_after_a_loss(spec, placements);
-    left.iter().filter(|engines| **engines == 0.0).count()
+/// Counts the models that the loss of one failure domain would remove entirely.
+fn count_lost_models(spec: &EngineSpec, placements: &[Placement<'_>]) -> usize {
+    let capacities = capacity_after_loss(spec, placements);
+    capacities
+        .iter()
+        .filter(|capacity| **capacity == 0.0)
+        .count()
 }
 
-fn exchange_models<'a>(spec: &'a EngineSpec, placements: &mut [Placement<'a>]) {
-    let mut tally = Tally::of(spec, placements);
-    let mut least = tally.left_after_a_loss();
+fn swap_models<'a>(spec: &'a EngineSpec, placements: &mut [Placement<'a>]) {
+    let mut counts = EngineCounts::of(spec, placements);
+    let mut best = counts.capacity_after_loss();
     loop {
         let mut improved = false;
         for first in 0..placements.len() {
             for second in first + 1..placements.len() {
-                if !may_exchange(&placements[first], &placements[second]) {
+                if !can_swap(&placements[first], &placements[second]) {
                     continue;
                 }
-                tally.exchange(placements, first, second);
-                let left = tally.left_after_a_loss();
-                if is_more(&left, &least) {
-                    least = left;
+                counts.swap(placements, first, second);
+                let capacity = counts.capacity_after_loss();
+                if is_greater(&capacity, &best) {
+                    best = capacity;
                     improved = true;
                 } else {
-                    tally.exchange(placements, first, second);
+                    counts.swap(placements, first, second);
                 }
             }
         }
@@ -163,56 +171,56 @@
     }
 }
 
-fn may_exchange(a: &Placement<'_>, b: &Placement<'_>) -> bool {
+fn can_swap(a: &Placement<'_>, b: &Placement<'_>) -> bool {
     a.model.model != b.model.model
         && a.failure_domain != b.failure_domain
-        && a.allows(b.model)
-        && b.allows(a.model)
+        && a.can_serve(b.model)
+        && b.can_serve(a.model)
 }
 
-/// Returns what is left of each model for its share of the work when the failure domain that holds most of
-/// it is gone, the least first.
-fn left_after_a_loss(spec: &EngineSpec, placements: &[Placement<'_>]) -> Vec<f64> {
-    Tally::of(spec, placements).left_after_a_loss()
+/// Returns the capacity of each model, relative to its expected share of the work, that remains when the
+/// failure domain with most of its engines is lost, in ascending order.
+fn capacity_after_loss(spec: &EngineSpec, placements: &[Placement<'_>]) -> Vec<f64> {
+    EngineCounts::of(spec, placements).capacity_after_loss()
 }
 
-/// The engines in groups of each model, by failure domain.
+/// The number of engines in groups of each model, by failure domain.
 ///
-/// Kept while placements change, it makes what an exchange leaves cheap to tell: counted anew for each pair of
-/// domains, a plan of hundreds of domains would take seconds.
-struct Tally<'a> {
+/// The counts are updated incrementally as placements change. Recounting for each pair of domains would take
+/// seconds in a plan with hundreds of domains.
+struct EngineCounts<'a> {
     failure_domains: IndexSet<&'a FailureDomainId>,
-    models: IndexMap<&'a ModelId, ModelTally>,
+    models: IndexMap<&'a ModelId, ModelCounts>,
 }
 
-struct ModelTally {
+struct ModelCounts {
     expected_share: f64,
-    /// By the place of the failure domain.
+    /// Indexed by the position of the failure domain.
     engines: Vec<usize>,
 }
 
-impl<'a> Tally<'a> {
+impl<'a> EngineCounts<'a> {
     fn of(spec: &'a EngineSpec, placements: &[Placement<'a>]) -> Self {
         let failure_domains: IndexSet<&FailureDomainId> = placements
             .iter()
             .map(|placement| placement.failure_domain)
             .collect();
         let models = spec.models.iter().map(|model| {
-            let tally = ModelTally {
+            let counts = ModelCounts {
                 expected_share: expected_share(spec, model).max(f64::EPSILON),
                 engines: vec![0; failure_domains.len()],
             };
-            (&model.model, tally)
+            (&model.model, counts)
         });
         let models = models.collect();
-        let mut tally = Self {
+        let mut counts = Self {
             failure_domains,
             models,
         };
         for placement in placements {
-            tally.add(placement);
+            counts.add(placement);
         }
-        tally
+        counts
     }
 
     fn add(&mut self, placement: &Placement<'a>) {
@@ -228,15 +236,15 @@
     }
 
     fn engines_of(&mut self, placement: &Placement<'a>) -> Option<&mut usize> {
-        let place = self
+        let index = self
             .failure_domains
             .get_index_of(placement.failure_domain)?;
         let model = self.models.get_mut(&placement.model.model)?;
-        model.engines.get_mut(place)
+        model.engines.get_mut(index)
     }
 
-    /// Exchanges the models of two placements.
-    fn exchange(&mut self, placements: &mut [Placement<'a>], first: usize, second: usize) {
+    /// Swaps the models of two placements.
+    fn swap(&mut self, placements: &mut [Placement<'a>], first: usize, second: usize) {
         self.remove(&placements[first]);
         self.remove(&placements[second]);
         let model = placements[first].model;
@@ -246,20 +254,20 @@
         self.add(&placements[second]);
     }
 
-    fn left_after_a_loss(&self) -> Vec<f64> {
-        let left = self.models.values().map(|model| {
-            let all: usize = model.engines.iter().sum();
-            let most = model.engines.iter().max();
-            let least = most.map_or(f64::INFINITY, |most| (all - most) as f64);
-            least / model.expected_share
+    fn capacity_after_loss(&self) -> Vec<f64> {
+        let capacities = self.models.values().map(|model| {
+            let total: usize = model.engines.iter().sum();
+            let largest = model.engines.iter().max();
+            let remaining = largest.map_or(f64::INFINITY, |largest| (total - largest) as f64);
+            remaining / model.expected_share
         });
-        let mut left: Vec<f64> = left.collect();
-        left.sort_by(f64::total_cmp);
-        left
+        let mut capacities: Vec<f64> = capacities.collect();
+        capacities.sort_by(f64::total_cmp);
+        capacities
     }
 }
 
-fn is_more(left: &[f64], than: &[f64]) -> bool {
-    let differing = left.iter().zip(than).find(|(a, b)| a != b);
+fn is_greater(capacities: &[f64], other: &[f64]) -> bool {
+    let differing = capacities.iter().zip(other).find(|(a, b)| a != b);
     differing.is_some_and(|(a, b)| a > b)
 }
--- a/crates/sesamecart-fleet/src/planner/assignment/tests.rs
+++ b/crates/sesamecart-fleet/src/planner/assignment/tests.rs
@@ -3,15 +3,15 @@
 use sesamecart_property::check_property;
 use sesamecart_vocabulary::{FabricDomainId, FailureDomainId};
 
-use super::{Placement, Tally, left_after_a_loss};
+use super::{EngineCounts, Placement, capacity_after_loss};
 use crate::testkit::spec;
 
 /// Guards against exchanges that are judged by counts of before.
 #[test]
-fn exchanged_placements_count_as_if_counted_anew() {
+fn swapping_placements_updates_the_counts_as_a_recount_would() {
     check_property(
         bolero::produce::<(Vec<(u8, u8, u8)>, Vec<(u8, u8)>)>(),
-        |(domains, exchanges)| {
+        |(domains, swaps)| {
             let spec = spec();
             let domains: Vec<(FabricDomainId, FailureDomainId, usize, usize)> = domains
                 .iter()
@@ -35,20 +35,20 @@
                     failure_domain,
                     engines: *engines,
                     model: &spec.models[model % spec.models.len()],
-                    choices: Vec::new(),
+                    candidates: Vec::new(),
                 });
             let mut placements: Vec<Placement<'_>> = placements.collect();
-            let mut tally = Tally::of(&spec, &placements);
-            for (first, second) in exchanges {
+            let mut counts = EngineCounts::of(&spec, &placements);
+            for (first, second) in swaps {
                 let count = placements.len().max(1);
                 let (first, second) = (usize::from(*first) % count, usize::from(*second) % count);
                 if first == second {
                     continue;
                 }
-                tally.exchange(&mut placements, first, second);
+                counts.swap(&mut placements, first, second);
                 assert_eq!(
-                    tally.left_after_a_loss(),
-                    left_after_a_loss(&spec, &placements)
+                    counts.capacity_after_loss(),
+                    capacity_after_loss(&spec, &placements)
                 );
             }
         },
--- a/crates/sesamecart-fleet/src/planner/conversion.rs
+++ b/crates/sesamecart-fleet/src/planner/conversion.rs
@@ -1,13 +1,15 @@
-//! Which groups are closed so that their engines serve a model that callers ask for more.
+//! Selects groups to close so that their engines can serve a model with higher demand.
 //!
-//! It answers demand that the configuration doesn't foresee or that shifts for long. Each engine that
-//! changes its model costs a load, during which it serves nobody, so
+//! Demand can differ from the configured shares or shift for a long time. Each engine that changes its model
+//! costs a load, during which it serves no requests. Therefore:
 //!
-//! - loads of empty engines go first: a change begins only while the weight store has room for all of it;
-//! - a group is closed only where its engines serve much more in other groups, and that has been so for as
-//!   long as they take to load: a burst or an evacuation that ends before would cost both models;
-//! - the model that gives a group up keeps groups that callers reach in two failure domains, or in all
-//!   that it has.
+//! - Loads of empty engines take precedence: a conversion starts only if the weight store has room for all of
+//!   its loads.
+//! - A group is closed only if its engines are worth much more in other groups, and only after that has been
+//!   true for as long as the loads take. Converting groups for a burst or an evacuation that ends sooner
+//!   would hurt both models.
+//! - The model that gives up a group keeps reachable groups in two failure domains, or in all of its failure
+//!   domains if it has fewer.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,64 +23,64 @@
 use crate::directory::GroupKey;
 use crate::endpoint::Endpoint;
 
-/// How many times the loss a gain has to be.
-pub(super) const GAIN_OVER_LOSS: f64 = 3.0;
+/// The minimum ratio of gain to loss for a conversion.
+pub(super) const MIN_GAIN_LOSS_RATIO: f64 = 3.0;
 
-/// The least gain for each group that is won, in groups that work needs all the time.
+/// The minimum gain for each gained group, in units of one group with sustained load.
 pub(super) const MIN_GAIN_PER_GROUP: f64 = 0.2;
 
-/// Failure domains in which a model that gives up a group keeps others.
-const KEPT_FAILURE_DOMAINS: usize = 2;
+/// The number of failure domains in which a model that gives up a group has to keep other groups.
+const MIN_KEPT_FAILURE_DOMAINS: usize = 2;
 
-/// How long a group may take to end its requests before it counts as kept.
+/// How long a group may take to finish its requests in flight before its conversion is canceled.
 const CLOSING_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// The changes that are under way or considered.
+/// The conversions in progress and under consideration.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Conversions {
-    /// The groups that are being closed for another model's, and since when.
+    /// The groups that are being closed for another model, and since when.
     retiring: IndexMap<GroupKey, Timestamp>,
-    /// Since when a change from one model to another has been worth it.
-    worthwhile: Option<(ModelId, ModelId, Timestamp)>,
-    /// Since when a fabric domain has had engines left over.
-    pub(super) left_over: IndexMap<FabricDomainId, Timestamp>,
+    /// The best conversion between two models, and since when it has been worthwhile.
+    candidate: Option<(ModelId, ModelId, Timestamp)>,
+    /// Since when each fabric domain has had leftover engines.
+    pub(super) leftover_since: IndexMap<FabricDomainId, Timestamp>,
 }
 
 impl Conversions {
-    /// Returns whether a group is being closed for another model's.
-    pub(super) fn retires(&self, key: &GroupKey) -> bool {
+    /// Returns whether a group is being closed for another model.
+    pub(super) fn is_retiring(&self, key: &GroupKey) -> bool {
         self.retiring.contains_key(key)
     }
 
-    /// Forgets groups that are gone or that can't be closed.
-    pub(super) fn forget(&mut self, now: Timestamp, is_known: impl Fn(&GroupKey) -> bool) {
+    /// Drops groups that are gone and groups that didn't close in time.
+    pub(super) fn prune(&mut self, now: Timestamp, is_known: impl Fn(&GroupKey) -> bool) {
         self.retiring
             .retain(|key, since| is_known(key) && now.since(*since) < CLOSING_TIMEOUT);
     }
 
-    /// Returns since when a change has been worth it, which it is now.
-    fn worthwhile_since(&mut self, now: Timestamp, from: &ModelId, to: &ModelId) -> Timestamp {
-        match &self.worthwhile {
+    /// Returns since when the conversion between two models, which is worthwhile now, has been so.
+    fn candidate_since(&mut self, now: Timestamp, from: &ModelId, to: &ModelId) -> Timestamp {
+        match &self.candidate {
             Some((known_from, known_to, since)) if known_from == from && known_to == to => *since,
             _ => {
-                self.worthwhile = Some((from.clone(), to.clone(), now));
+                self.candidate = Some((from.clone(), to.clone(), now));
                 now
             }
         }
     }
 }
 
-/// A group that may be closed, and the engines that it would leave to another model.
-struct Change<'a> {
+/// A group that could be closed, and the members that it would release to another model.
+struct Conversion<'a> {
     from: &'a EngineModel,
     to: &'a EngineModel,
     key: GroupKey,
     members: Vec<EndpointId>,
-    net: f64,
+    net_gain: f64,
 }
 
 impl Planner {
-    /// Gives engines to models that need them more.
+    /// Reassigns engines to models that need them more.
     pub(super) fn convert(
         &mut self,
         now: Timestamp,
@@ -90,17 +92,17 @@
             return;
         }
         let mut provisioning = self.provisioning(input);
-        self.convert_left_over(now, input, free, &mut provisioning);
+        self.convert_leftover(now, input, free, &mut provisioning);
         self.convert_group(now, input, &provisioning, steps);
     }
 
-    /// Returns whether the head of a group takes no more requests soon, as its engines change model.
+    /// Returns whether a group, given by its head, is being closed so that its engines can change model.
     pub(super) fn is_retiring(&self, head: &Endpoint) -> bool {
         head.group_key()
-            .is_some_and(|key| self.conversions.retires(&key))
+            .is_some_and(|key| self.conversions.is_retiring(&key))
     }
 
-    /// Closes the group whose engines serve the most more in groups of another model.
+    /// Closes the group whose conversion to another model has the largest net gain.
     fn convert_group(
         &mut self,
         now: Timestamp,
@@ -111,58 +113,61 @@
         if !self.conversions.retiring.is_empty() {
             return;
         }
-        let Some(change) = self.best_change(input, provisioning) else {
-            self.conversions.worthwhile = None;
+        let Some(conversion) = self.best_conversion(input, provisioning) else {
+            self.conversions.candidate = None;
             return;
         };
-        let (from, to) = (&change.from.model, &change.to.model);
-        let since = self.conversions.worthwhile_since(now, from, to);
-        if now.since(since) < change.to.load_time {
+        let (from, to) = (&conversion.from.model, &conversion.to.model);
+        let since = self.conversions.candidate_since(now, from, to);
+        if now.since(since) < conversion.to.load_time {
             return;
         }
-        let engines = change.members.len() / change.to.group_size * change.to.group_size;
-        if !self.has_room_for(input, engines) {
+        let engines =
+            conversion.members.len() / conversion.to.group_size * conversion.to.group_size;
+        if !self.has_load_capacity(input, engines) {
             return;
         }
-        for member in change.members.iter().take(engines) {
+        for member in conversion.members.iter().take(engines) {
             self.reserved.insert(member.clone(), to.clone());
         }
-        self.conversions.retiring.insert(change.key.clone(), now);
-        self.examined.insert(change.key.clone(), now);
+        self.conversions
+            .retiring
+            .insert(conversion.key.clone(), now);
+        self.examined.insert(conversion.key.clone(), now);
         steps.push(Step::Retire {
-            key: change.key,
+            key: conversion.key,
             from: from.clone(),
             to: to.clone(),
         });
     }
 
-    fn best_change<'a>(
+    fn best_conversion<'a>(
         &self,
         input: &PlannerInput<'a>,
         provisioning: &Provisioning,
-    ) -> Option<Change<'a>> {
-        let mut best: Option<Change<'a>> = None;
+    ) -> Option<Conversion<'a>> {
+        let mut best: Option<Conversion<'a>> = None;
         for from in &input.spec.models {
             for to in &input.spec.models {
-                let won = from.group_size / to.group_size.max(1);
-                if from.model == to.model || won == 0 {
+                let gained_groups = from.group_size / to.group_size.max(1);
+                if from.model == to.model || gained_groups == 0 {
                     continue;
                 }
-                let gain = provisioning.worth_of_change(&to.model, won as f64);
-                let loss = -provisioning.worth_of_change(&from.model, -1.0);
-                let is_worth_it =
-                    gain >= MIN_GAIN_PER_GROUP * won as f64 && gain >= GAIN_OVER_LOSS * loss;
-                let net = gain - loss;
-                if !is_worth_it || best.as_ref().is_some_and(|best| best.net >= net) {
+                let gain = provisioning.value_of_change(&to.model, gained_groups as f64);
+                let loss = -provisioning.value_of_change(&from.model, -1.0);
+                let is_worthwhile = gain >= MIN_GAIN_PER_GROUP * gained_groups as f64
+                    && gain >= MIN_GAIN_LOSS_RATIO * loss;
+                let net_gain = gain - loss;
+                if !is_worthwhile || best.as_ref().is_some_and(|best| best.net_gain >= net_gain) {
                     continue;
                 }
                 if let Some((key, members)) = self.group_to_close(input, from, to) {
-                    best = Some(Change {
+                    best = Some(Conversion {
                         from,
                         to,
                         key,
                         members,
-                        net,
+                        net_gain,
                     });
                 }
             }
@@ -170,8 +175,7 @@
         best
     }
 
-    /// Returns the group of a model that can be spared, in the failure domain where the other model has
-    /// the fewest groups.
+    /// Returns a group of `from` that can be spared, in the failure domain where `to` has the fewest groups.
     fn group_to_close<'a>(
         &self,
         input: &PlannerInput<'a>,
@@ -185,17 +189,17 @@
         };
         let heads: Vec<&Arc<Endpoint>> = reachable(from).collect();
         let failure_domains: IndexSet<_> = heads.iter().map(|head| &head.failure_domain).collect();
-        let kept = failure_domains.len().min(KEPT_FAILURE_DOMAINS);
+        let required = failure_domains.len().min(MIN_KEPT_FAILURE_DOMAINS);
         let candidates = heads.iter().filter(|head| {
             let others = heads.iter().filter(|other| other.id != head.id);
             let others: IndexSet<_> = others.map(|other| &other.failure_domain).collect();
-            others.len() >= kept.max(1)
+            others.len() >= required.max(1)
         });
         let chosen = candidates.min_by_key(|head| {
-            let near = |other: &&Arc<Endpoint>| other.failure_domain == head.failure_domain;
-            let served = reachable(to).filter(near).count();
-            let left = heads.iter().copied().filter(near).count();
-            (served, usize::MAX - left, head.id.clone())
+            let is_nearby = |other: &&Arc<Endpoint>| other.failure_domain == head.failure_domain;
+            let served = reachable(to).filter(is_nearby).count();
+            let remaining = heads.iter().copied().filter(is_nearby).count();
+            (served, usize::MAX - remaining, head.id.clone())
         })?;
         let key = chosen.group_key()?;
         let members = input.directory.members(&key);
--- a/crates/sesamecart-fleet/src/planner/domain_sizes.rs
+++ b/crates/sesamecart-fleet/src/planner/domain_sizes.rs
@@ -1,4 +1,4 @@
-//! How many engines each fabric domain has.
+//! Tracks the number of engines in each fabric domain.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,81 +9,81 @@
 use super::engine::is_ready;
 use crate::endpoint::Endpoint;
 
-/// How long no engine may have come before domains that are smaller than others count as complete.
+/// How long no new engine may have registered before smaller domains count as complete.
 ///
-/// At a start engines register one after the other. Domains that were measured by the first of them
-/// would look too small for the model with the larger groups, and be loaded with another one.
-const SETTLED_AFTER: Duration = Duration::from_millis(500);
+/// On a cold start, engines register one after the other. A domain measured when only the first of them had
+/// registered would look too small for the model with the larger groups and would be loaded with another one.
+const STABILIZATION_WINDOW: Duration = Duration::from_millis(500);
 
 /// The engines of each fabric domain.
-pub(super) type Domains<'a> = IndexMap<&'a FabricDomainId, Vec<&'a Arc<Endpoint>>>;
+pub(super) type EnginesByDomain<'a> = IndexMap<&'a FabricDomainId, Vec<&'a Arc<Endpoint>>>;
 
-/// The engines that each fabric domain has, which decide what models it can hold.
+/// The number of ready engines in each fabric domain, which determines the models that it can hold.
 #[derive(Clone, Debug, Default)]
 pub(super) struct DomainSizes {
     sizes: IndexMap<FabricDomainId, usize>,
-    grown_at: Timestamp,
-    /// Since when a domain's engines have been too few for the model that they hold.
-    short_since: IndexMap<FabricDomainId, Timestamp>,
+    last_growth_at: Timestamp,
+    /// Since when a domain has had too few engines for the model that they hold.
+    undersized_since: IndexMap<FabricDomainId, Timestamp>,
 }
 
 impl DomainSizes {
-    /// Follows what is registered now.
-    pub(super) fn follow(&mut self, now: Timestamp, domains: &Domains<'_>) {
-        let before = std::mem::take(&mut self.sizes);
+    /// Updates the sizes from the engines that are registered now.
+    pub(super) fn update(&mut self, now: Timestamp, domains: &EnginesByDomain<'_>) {
+        let previous = std::mem::take(&mut self.sizes);
         for (domain, engines) in domains {
             let ready = engines.iter().filter(|engine| is_ready(engine)).count();
-            if before.get(*domain).is_none_or(|known| ready > *known) {
-                self.grown_at = now;
+            if previous.get(*domain).is_none_or(|known| ready > *known) {
+                self.last_growth_at = now;
             }
             self.sizes.insert((*domain).clone(), ready);
         }
-        self.short_since
+        self.undersized_since
             .retain(|domain, _| domains.contains_key(domain));
     }
 
-    /// Returns whether a domain has been too small for its model for at least `wait`.
+    /// Returns whether a domain has been too small for its model for at least `min_duration`.
     ///
-    /// Its engines would be loaded with another model otherwise just before they are joined by
-    /// replacements, or by those that were cut off from the store.
-    pub(super) fn is_short_for(
+    /// Without this delay, its engines would be loaded with another model just before replacements arrive, or
+    /// before engines that were disconnected from the store return.
+    pub(super) fn is_undersized_for(
         &mut self,
         now: Timestamp,
         domain: &FabricDomainId,
-        is_short: bool,
-        wait: Duration,
+        is_undersized: bool,
+        min_duration: Duration,
     ) -> bool {
-        if !is_short {
-            self.short_since.swap_remove(domain);
+        if !is_undersized {
+            self.undersized_since.swap_remove(domain);
             return false;
         }
-        let since = self.short_since.entry(domain.clone()).or_insert(now);
-        now.since(*since) >= wait
+        let since = self.undersized_since.entry(domain.clone()).or_insert(now);
+        now.since(*since) >= min_duration
     }
 
-    /// Returns whether all engines of a domain seem to have come, where one that holds a group of
-    /// `largest_group` engines would have more.
+    /// Returns whether all engines of a domain seem to have registered. Before the fleet is stable, this
+    /// holds only for a domain of the largest size that has room for a group of `largest_group` engines.
     pub(super) fn is_complete(
         &self,
         now: Timestamp,
         domain: &FabricDomainId,
         largest_group: usize,
     ) -> bool {
-        let size = self.of(domain);
-        self.are_settled(now) || (size == self.largest() && size >= largest_group)
+        let size = self.size_of(domain);
+        self.is_stable(now) || (size == self.largest() && size >= largest_group)
     }
 
-    /// Returns whether no engine has come for a while.
-    pub(super) fn are_settled(&self, now: Timestamp) -> bool {
-        now.since(self.grown_at) >= SETTLED_AFTER
+    /// Returns whether no new engine has registered for a while.
+    pub(super) fn is_stable(&self, now: Timestamp) -> bool {
+        now.since(self.last_growth_at) >= STABILIZATION_WINDOW
     }
 
-    /// Returns the engines of the largest domain.
+    /// Returns the number of engines in the largest domain.
     pub(super) fn largest(&self) -> usize {
         self.sizes.values().copied().max().unwrap_or(0)
     }
 
-    pub(super) fn of(&self, domain: &FabricDomainId) -> usize {
+    pub(super) fn size_of(&self, domain: &FabricDomainId) -> usize {
         self.sizes.get(domain).copied().unwrap_or(0)
     }
 }
--- a/crates/sesamecart-fleet/src/planner/engine.rs
+++ b/crates/sesamecart-fleet/src/planner/engine.rs
@@ -1,4 +1,4 @@
-//! What one engine can do for a model, and how soon.
+//! Properties of one engine with respect to a model, such as how soon it can serve it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 use crate::directory::{Directory, GroupKey};
 use crate::endpoint::{Endpoint, EndpointState, GroupState};
 
-/// How long a member that joins again in the same model takes.
+/// How long an engine takes to join a group of the model that it already serves.
 const REJOIN_TIME: Duration = Duration::from_millis(200);
 
 pub(super) fn engines<'a>(
@@ -41,7 +41,7 @@
     !holds(engine, &model.model)
 }
 
-pub(super) fn joining_time(engine: &Endpoint, model: &EngineModel) -> Duration {
+pub(super) fn join_time(engine: &Endpoint, model: &EngineModel) -> Duration {
     if engine.models.contains(&model.model) {
         REJOIN_TIME
     } else if engine.staged.contains(&model.model) {
@@ -51,7 +51,7 @@
     }
 }
 
-pub(super) fn state_in(
+pub(super) fn member_state(
     directory: &Directory,
     id: &EndpointId,
     key: &GroupKey,
--- a/crates/sesamecart-fleet/src/planner/forming.rs
+++ b/crates/sesamecart-fleet/src/planner/forming.rs
@@ -1,4 +1,4 @@
-//! Which free engines form the next group.
+//! Selects the free engines that form the next group.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -6,51 +6,52 @@
 use indexmap::IndexMap;
 use sesamecart_vocabulary::{EndpointId, FabricDomainId, GroupId, Timestamp};
 
-use super::engine::{engines, group_size, joining_time, needs_load};
-use super::{Formation, JOIN_SLACK, Planner, PlannerInput, Progress, Step};
+use super::engine::{engines, group_size, join_time, needs_load};
+use super::{Formation, JOIN_TIMEOUT_MARGIN, Phase, Planner, PlannerInput, Step};
 use crate::catalog::EngineModel;
 use crate::directory::GroupKey;
 use crate::endpoint::Endpoint;
 use crate::number::GroupEpoch;
 
-/// The part of a group's loads that may run beyond what the weight store bears unslowed.
+/// The fraction of a group's loads that may exceed the number of loads that the weight store serves at full
+/// speed.
 ///
-/// A group's loads begin together. Waiting until all of them fit would leave the store idle in part;
-/// beginning many groups at once would have all of them wait for each other.
-const LOAD_OVERCOMMIT: f64 = 0.5;
+/// The loads of a group start together. Waiting until all of them fit would leave the weight store partly
+/// idle, while starting many groups at once would make all of them wait for each other.
+const LOAD_OVERCOMMIT_FRACTION: f64 = 0.5;
 
-/// How many times as large as another model's groups a domain's own groups are at least where its spare
-/// engines aren't spent on the other model.
+/// A domain keeps its spare engines for its own model if the groups of that model are at least this many
+/// times as large as those of the other model.
 ///
-/// One spare makes a large group whole again soon after a loss; in a small group it serves a part of one.
-/// Once the spares are spent on small groups, each loss takes a large group away, and its other engines
-/// stand idle for want of one more.
-const KEEP_SPARES_RATIO: usize = 2;
+/// One spare makes a large group whole again soon after a loss, but it is only a fraction of a small group.
+/// Once the spares are used up by small groups, each loss takes down a large group, and its remaining engines
+/// are idle because one engine is missing.
+const SPARE_RESERVATION_RATIO: usize = 2;
 
-/// Epochs that one controller may use; its fence gives the next range.
+/// The size of the epoch range of one controller. The next fencing token starts the next range.
 const EPOCHS_PER_FENCE: u64 = 1_000_000;
 
-/// Whether a domain's free engines can form a group of a model now.
-enum Forming {
-    /// They can, and take so long.
+/// Whether the free engines of a domain can form a group of a model now.
+enum Feasibility {
+    /// They can. The group takes this long to join.
     Possible(Duration),
-    /// They could, but the weight store has enough to do.
-    WaitsForLoads,
+    /// They could, but the weight store has no capacity for the loads.
+    AwaitingLoads,
     /// They can't.
     Impossible,
 }
 
-/// What came of forming one group of a model.
+/// The outcome of an attempt to form one group of a model.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Formed {
-    Group,
-    Waits,
-    Nothing,
+enum FormOutcome {
+    Formed,
+    Deferred,
+    Impossible,
 }
 
 impl Planner {
-    /// Forms groups as long as engines allow, the model that is furthest behind first.
-    pub(super) fn form(
+    /// Forms as many groups as the free engines allow, starting with the most underprovisioned model.
+    pub(super) fn form_groups(
         &mut self,
         now: Timestamp,
         input: &PlannerInput<'_>,
@@ -64,60 +65,64 @@
                 let ratio = |model: &EngineModel| provisioning.ratio(&model.model);
                 ratio(a).total_cmp(&ratio(b))
             });
-            let formed = models
+            let outcome = models
                 .into_iter()
-                .map(|model| self.form_one(now, input, model, free, steps))
-                .find(|formed| *formed != Formed::Nothing);
-            if formed != Some(Formed::Group) {
+                .map(|model| self.try_form_group(now, input, model, free, steps))
+                .find(|outcome| *outcome != FormOutcome::Impossible);
+            if outcome != Some(FormOutcome::Formed) {
                 return;
             }
         }
     }
 
-    fn form_one(
+    fn try_form_group(
         &mut self,
         now: Timestamp,
         input: &PlannerInput<'_>,
         model: &EngineModel,
         free: &mut IndexMap<FabricDomainId, Vec<&Arc<Endpoint>>>,
         steps: &mut Vec<Step>,
-    ) -> Formed {
-        let mut waits = false;
+    ) -> FormOutcome {
+        let mut is_deferred = false;
         let mut best: Option<(Duration, bool, usize, FabricDomainId)> = None;
         for (domain, engines) in free.iter() {
-            let time = match self.forming_time(input, domain, model, engines) {
-                Forming::Possible(time) => time,
-                Forming::WaitsForLoads => {
-                    waits = true;
+            let time = match self.feasibility(input, domain, model, engines) {
+                Feasibility::Possible(time) => time,
+                Feasibility::AwaitingLoads => {
+                    is_deferred = true;
                     continue;
                 }
-                Forming::Impossible => continue,
+                Feasibility::Impossible => continue,
             };
-            // How large domains are shows only when all engines have come; until then few domains
-            // are begun, so that the others can still get the model that needs them.
-            let is_begun = self.begun.contains(domain);
-            let groups = self.groups_near(input, model, engines);
-            let place = (time, !is_begun, groups);
+            // The size of a domain is known only when all of its engines have registered. Until then, groups
+            // are formed in few domains, so that the others remain available to the model that needs them.
+            let is_active = self.active_domains.contains(domain);
+            let groups = self.nearby_groups(input, model, engines);
+            let cost = (time, !is_active, groups);
             let is_best = best
                 .as_ref()
-                .is_none_or(|(time, new, groups, _)| place < (*time, *new, *groups));
+                .is_none_or(|(time, is_new, groups, _)| cost < (*time, *is_new, *groups));
             if is_best {
-                best = Some((time, !is_begun, groups, domain.clone()));
+                best = Some((time, !is_active, groups, domain.clone()));
             }
         }
         let Some((time, _, _, domain)) = best else {
-            // A model with smaller groups would take each place in the weight store that becomes
-            // free, and the one that is furthest behind would never find room for all its loads.
-            return if waits {
-                Formed::Waits
+            // If a model with smaller groups were tried next, it would take each load that the weight store
+            // can serve, and the most underprovisioned model would never get room for all of its loads.
+            return if is_deferred {
+                FormOutcome::Deferred
             } else {
-                Formed::Nothing
+                FormOutcome::Impossible
             };
         };
         let engines = &mut free[&domain];
         engines.sort_by_key(|engine| {
-            let is_kept = !self.may_serve(&engine.id, &model.model);
-            (is_kept, joining_time(engine, model), engine.id.clone())
+            let is_reserved_for_other = !self.may_serve(&engine.id, &model.model);
+            (
+                is_reserved_for_other,
+                join_time(engine, model),
+                engine.id.clone(),
+            )
         });
         let members: Vec<EndpointId> = engines
             .drain(..model.group_size)
@@ -129,51 +134,52 @@
         for id in &members {
             let engine = input.directory.find(id);
             if engine.is_some_and(|engine| needs_load(engine, model)) {
-                self.note_load(now, input, id, model);
+                self.record_load(now, input, id, model);
             }
         }
-        let slack = if input.in_traffic {
-            JOIN_SLACK
+        let margin = if input.in_traffic {
+            JOIN_TIMEOUT_MARGIN
         } else {
-            // The first loads take a tenth of their time, but many at once slow each other.
-            JOIN_SLACK + JOIN_SLACK
+            // The first loads take a tenth of their usual time, but many at once slow each other down.
+            JOIN_TIMEOUT_MARGIN + JOIN_TIMEOUT_MARGIN
         };
-        self.formed += 1;
+        self.formed_count += 1;
         let formation = Formation {
             key: self.next_key(),
             model: model.model.clone(),
             members,
-            progress: Progress::Joining,
-            give_up_at: now + time + slack,
+            phase: Phase::Joining,
+            deadline: now + time + margin,
         };
         self.formations
             .insert(formation.key.clone(), formation.clone());
         steps.push(Step::Join(formation));
-        Formed::Group
+        FormOutcome::Formed
     }
 
     fn next_key(&self) -> GroupKey {
-        let name = format!("g{}-{}", self.fence, self.formed);
-        // The name holds digits and a hyphen only, which names allow.
+        let name = format!("g{}-{}", self.fence, self.formed_count);
+        // The name consists of `g`, digits and a hyphen, all of which are valid in a name.
         let group = name.parse::<GroupId>().unwrap_or_else(|_| unreachable!());
-        let epoch = GroupEpoch(self.fence.0 * EPOCHS_PER_FENCE + self.formed);
+        let epoch = GroupEpoch(self.fence.0 * EPOCHS_PER_FENCE + self.formed_count);
         GroupKey { group, epoch }
     }
 
-    /// Returns how long a group of a domain's free engines takes, if it may be formed now.
-    fn forming_time(
+    /// Returns whether a group of a domain's free engines may be formed now, and how long its members need to
+    /// join.
+    fn feasibility(
         &self,
         input: &PlannerInput<'_>,
         domain: &FabricDomainId,
         model: &EngineModel,
         engines: &[&Arc<Endpoint>],
-    ) -> Forming {
+    ) -> Feasibility {
         let usable = engines
             .iter()
             .filter(|engine| self.may_serve(&engine.id, &model.model));
-        let mut times: Vec<Duration> = usable.map(|engine| joining_time(engine, model)).collect();
+        let mut times: Vec<Duration> = usable.map(|engine| join_time(engine, model)).collect();
         if times.len() < model.group_size {
-            return Forming::Impossible;
+            return Feasibility::Impossible;
         }
         times.sort();
         let members = &times[..model.group_size];
@@ -181,46 +187,47 @@
         let loads = members.iter().filter(|time| **time >= model.load_time);
         let loads = loads.count();
         if loads == 0 {
-            return Forming::Possible(time);
+            return Feasibility::Possible(time);
         }
-        let is_primary = self.primaries.get(domain) == Some(&model.model);
-        // Engines that the domain's own model can still use aren't spent on another one.
-        let primary = self.primaries.get(domain);
-        let primary_size = primary.and_then(|primary| group_size(input.spec, primary));
-        let fits_primary = primary_size.is_some_and(|size| {
-            engines.len() >= size || size >= model.group_size * KEEP_SPARES_RATIO
+        let is_own_model = self.domain_models.get(domain) == Some(&model.model);
+        // Engines that the domain's own model can still use aren't given to another model.
+        let assigned_model = self.domain_models.get(domain);
+        let assigned_size = assigned_model.and_then(|id| group_size(input.spec, id));
+        let keeps_spares = assigned_size.is_some_and(|size| {
+            engines.len() >= size || size >= model.group_size * SPARE_RESERVATION_RATIO
         });
-        if input.in_traffic || (!is_primary && fits_primary) {
-            return Forming::Impossible;
+        if input.in_traffic || (!is_own_model && keeps_spares) {
+            return Feasibility::Impossible;
         }
-        let over = (model.group_size as f64 * LOAD_OVERCOMMIT) as usize;
-        let most = input.spec.loads_at_once + over;
-        let has_room = self.loading.is_empty() || self.loading.len() + loads <= most;
-        if has_room || self.loads_the_rest(input) {
-            Forming::Possible(time)
+        let overcommit = (model.group_size as f64 * LOAD_OVERCOMMIT_FRACTION) as usize;
+        let max_loads = input.spec.loads_at_once + overcommit;
+        let has_room = self.loading.is_empty() || self.loading.len() + loads <= max_loads;
+        if has_room || self.is_load_limit_lifted(input) {
+            Feasibility::Possible(time)
         } else {
-            Forming::WaitsForLoads
+            Feasibility::AwaitingLoads
         }
     }
 
-    /// Counts the groups of a model in the failure domain of some engines, to spread them.
-    fn groups_near(
+    /// Counts the groups of a model in the failure domain of the given engines, to spread groups across
+    /// failure domains.
+    fn nearby_groups(
         &self,
         input: &PlannerInput<'_>,
         model: &EngineModel,
-        near: &[&Arc<Endpoint>],
+        nearby: &[&Arc<Endpoint>],
     ) -> usize {
-        let Some(failure_domain) = near.first().map(|engine| &engine.failure_domain) else {
+        let Some(failure_domain) = nearby.first().map(|engine| &engine.failure_domain) else {
             return 0;
         };
-        let is_near = |engine: &Endpoint| engine.failure_domain == *failure_domain;
+        let is_nearby = |engine: &Endpoint| engine.failure_domain == *failure_domain;
         let open = engines(input).filter(|engine| {
-            engine.is_open_head() && engine.models.contains(&model.model) && is_near(engine)
+            engine.is_open_head() && engine.models.contains(&model.model) && is_nearby(engine)
         });
         let forming = self.formations.values().filter(|formation| {
             let head = formation.members.first();
             let head = head.and_then(|id| input.directory.find(id));
-            formation.model == model.model && head.is_some_and(|head| is_near(head))
+            formation.model == model.model && head.is_some_and(|head| is_nearby(head))
         });
         open.count() + forming.count()
     }
--- a/crates/sesamecart-fleet/src/planner/loading.rs
+++ b/crates/sesamecart-fleet/src/planner/loading.rs
@@ -1,4 +1,4 @@
-//! Which loads begin when.
+//! Schedules model loads.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,22 +11,24 @@
 use crate::catalog::EngineModel;
 use crate::endpoint::Endpoint;
 
-/// The part of the loads that the operator allows in [`LOAD_WINDOW`] that one controller begins: less
-/// than half, since a controller that takes over counts anew.
-const LOAD_STARTS_PART: f64 = 0.45;
+/// The fraction of the loads allowed by the operator in [`LOAD_RATE_WINDOW`] that one controller may start.
+/// It is less than half because a controller that takes over counts from zero.
+const LOAD_START_FRACTION: f64 = 0.45;
 
-pub(super) const LOAD_WINDOW: Duration = Duration::from_secs(5);
+/// The window over which the rate of load starts is limited.
+pub(super) const LOAD_RATE_WINDOW: Duration = Duration::from_secs(5);
 
-/// How much longer than alone a load may take before it counts as failed: loads slow each other.
+/// How many times its usual duration a load may take before it counts as failed. Concurrent loads slow each
+/// other down.
 const LOAD_TIMEOUT_FACTOR: u32 = 3;
 
-/// Loads before the first request take this part of their time.
-const EARLY_LOADS_FASTER: u32 = 10;
+/// Loads before the first request are faster by this factor.
+const EARLY_LOAD_SPEEDUP: u32 = 10;
 
 /// A load that would make an engine useful.
-struct Wanted<'a> {
-    /// The engines that a group of the model still lacks.
-    lacking: usize,
+struct WantedLoad<'a> {
+    /// The number of engines that a group of the model still lacks.
+    missing: usize,
     engine: &'a Arc<Endpoint>,
     model: &'a EngineModel,
 }
@@ -34,36 +36,40 @@
 /// The free engines of a fabric domain.
 #[derive(Default)]
 struct FreeEngines<'a> {
-    /// Those that hold or load a model which the domain serves.
+    /// Engines that hold or load a model that the domain serves.
     holding: Vec<(&'a Arc<Endpoint>, &'a EngineModel)>,
     empty: Vec<&'a Arc<Endpoint>>,
 }
 
 impl<'a> FreeEngines<'a> {
-    /// Returns how many engines that hold a model are missing for a group of it.
-    fn missing(&self, model: &EngineModel) -> usize {
+    /// Returns how many more engines have to hold a model until a group of it is complete.
+    fn missing_for_group(&self, model: &EngineModel) -> usize {
         let holding = self.holding.iter();
         let held = holding.filter(|(_, held)| held.model == model.model);
         model.group_size.saturating_sub(held.count())
     }
 
     /// Returns how many engines the next group of a model lacks.
-    fn lacking(&self, model: &EngineModel) -> usize {
-        // With as many engines as a group needs held or loading, the next ones are for another group.
-        match self.missing(model) {
+    fn missing_for_next_group(&self, model: &EngineModel) -> usize {
+        // If enough engines for one group already hold or load the model, further engines are for another
+        // group.
+        match self.missing_for_group(model) {
             0 => model.group_size,
             missing => missing,
         }
     }
 
-    /// Returns the engines that hold other models and that a group of this one needs beside the empty ones;
-    /// none where it can't be made whole. Those that are loading stay with what they load.
+    /// Returns the engines holding other models that a group of this model needs in addition to the empty
+    /// ones, or none if they wouldn't complete the group. Engines that are loading keep the model that they
+    /// load.
     fn spares_for(
         &self,
         model: &EngineModel,
         is_loading: impl Fn(&Endpoint) -> bool,
     ) -> Vec<&'a Arc<Endpoint>> {
-        let needed = self.missing(model).saturating_sub(self.empty.len());
+        let needed = self
+            .missing_for_group(model)
+            .saturating_sub(self.empty.len());
         let holding = self.holding.iter();
         let others = holding.filter(|(_, held)| held.model != model.model);
         let others = others.map(|(engine, _)| *engine);
@@ -76,55 +82,56 @@
 }
 
 impl Planner {
-    /// Returns whether all engines that are left begin their loads at once.
+    /// Returns whether all remaining engines start their loads at once.
     ///
-    /// Before the first request a load takes a tenth of its time, and one that has begun keeps that.
-    /// When the first requests come is not known. So once half of the engines hold a model, which
-    /// serves the first requests, the others begin all together; those that waited for their turn
-    /// would load for seconds of traffic.
-    pub(super) fn loads_the_rest(&self, input: &PlannerInput<'_>) -> bool {
+    /// Before the first request, a load takes a tenth of its usual time, and a load that has started stays
+    /// that fast. When the first request will arrive is unknown. So once half of the engines hold a model,
+    /// which is enough to serve the first requests, the others start to load together. If they waited their
+    /// turn, they would still be loading seconds after traffic starts.
+    pub(super) fn is_load_limit_lifted(&self, input: &PlannerInput<'_>) -> bool {
         if input.in_traffic {
             return false;
         }
-        let all = engines(input).count();
+        let total = engines(input).count();
         let loaded = engines(input).filter(|engine| {
             let models = input.spec.models.iter();
             models.map(|model| &model.model).any(|id| holds(engine, id))
         });
-        loaded.count() * 2 >= all
+        loaded.count() * 2 >= total
     }
 
-    /// Loads the domain's model ahead onto free engines that hold nothing useful.
-    pub(super) fn stage(
+    /// Preloads the model of each domain onto free engines that hold no useful model.
+    pub(super) fn stage_models(
         &mut self,
         now: Timestamp,
         input: &PlannerInput<'_>,
         free: &IndexMap<FabricDomainId, Vec<&Arc<Endpoint>>>,
         steps: &mut Vec<Step>,
     ) {
-        let comes_after_groups = !input.in_traffic && !self.loads_the_rest(input);
-        if comes_after_groups && (self.is_forming() || !self.sizes.are_settled(now)) {
-            // What is left over is loaded after whole groups, or when none can be formed: the first
-            // requests would find its engines empty, and loads take ten times longer by then.
+        let waits_for_groups = !input.in_traffic && !self.is_load_limit_lifted(input);
+        if waits_for_groups && (self.is_forming() || !self.domain_sizes.is_stable(now)) {
+            // Leftover engines are loaded after whole groups, or when no group can be formed. If they weren't
+            // loaded at all, the first requests would find them empty, and loads take ten times longer from
+            // then on.
             return;
         }
-        let mut wanted: Vec<Wanted<'_>> = Vec::new();
+        let mut wanted: Vec<WantedLoad<'_>> = Vec::new();
         for (domain, engines) in free {
-            wanted.extend(self.wanted_in(input, domain, engines));
+            wanted.extend(self.wanted_loads(input, domain, engines));
         }
-        // The group that lacks least is whole soonest.
-        wanted.sort_by_key(|load| (load.lacking, load.engine.id.clone()));
-        for Wanted { engine, model, .. } in wanted {
-            if self.loading.len() >= input.spec.loads_at_once && !self.loads_the_rest(input) {
+        // The group that lacks the fewest engines is complete soonest.
+        wanted.sort_by_key(|load| (load.missing, load.engine.id.clone()));
+        for WantedLoad { engine, model, .. } in wanted {
+            if self.loading.len() >= input.spec.loads_at_once && !self.is_load_limit_lifted(input) {
                 return;
             }
             if self.loading.contains_key(&engine.id) {
                 continue;
             }
-            if input.in_traffic && self.starts.len() >= load_starts(input) {
+            if input.in_traffic && self.recent_load_starts.len() >= max_load_starts(input) {
                 return;
             }
-            self.note_load(now, input, &engine.id, model);
+            self.record_load(now, input, &engine.id, model);
             steps.push(Step::Stage {
                 endpoint: engine.id.clone(),
                 model: model.model.clone(),
@@ -132,29 +139,30 @@
         }
     }
 
-    /// Returns the loads that make a fabric domain's free engines useful.
+    /// Returns the loads that make the free engines of a fabric domain useful.
     ///
-    /// An engine that holds a model which the domain serves, if only beside its own, keeps it, as it mends the
-    /// next group of it that loses a member. Where a whole group waits for it, it loads that group's model.
-    fn wanted_in<'a>(
+    /// An engine that holds any model served in the domain, not only the one assigned to it, keeps that
+    /// model: it replaces the next lost member of one of its groups. Only if it completes a group of another
+    /// model does it load that model.
+    fn wanted_loads<'a>(
         &self,
         input: &PlannerInput<'a>,
         domain: &FabricDomainId,
         engines: &[&'a Arc<Endpoint>],
-    ) -> Vec<Wanted<'a>> {
-        let primary = self.primaries.get(domain);
-        let Some(own) = primary.and_then(|id| find_model(input.spec, id)) else {
+    ) -> Vec<WantedLoad<'a>> {
+        let assigned = self.domain_models.get(domain);
+        let Some(own) = assigned.and_then(|id| find_model(input.spec, id)) else {
             return Vec::new();
         };
-        let served = self.served_in(input, own, domain);
+        let served = self.served_models(input, own, domain);
         let mut free = FreeEngines::default();
         let mut wanted = Vec::new();
         for engine in engines {
             if let Some(reserved) = self.reserved.get(&engine.id) {
                 let model = find_model(input.spec, reserved);
                 let model = model.filter(|model| needs_load(engine, model));
-                wanted.extend(model.map(|model| Wanted {
-                    lacking: model.group_size,
+                wanted.extend(model.map(|model| WantedLoad {
+                    missing: model.group_size,
                     engine,
                     model,
                 }));
@@ -166,22 +174,22 @@
             }
         }
         let model = served.iter().copied();
-        let Some(model) = model.min_by_key(|model| free.lacking(model)) else {
+        let Some(model) = model.min_by_key(|model| free.missing_for_next_group(model)) else {
             return wanted;
         };
         let spares = free.spares_for(model, |engine| self.loading.contains_key(&engine.id));
-        let lacking = free.lacking(model);
+        let missing = free.missing_for_next_group(model);
         let empty = free.empty.iter().copied();
-        wanted.extend(empty.chain(spares).map(|engine| Wanted {
-            lacking,
+        wanted.extend(empty.chain(spares).map(|engine| WantedLoad {
+            missing,
             engine,
             model,
         }));
         wanted
     }
 
-    /// Returns the models that a fabric domain has groups of, its own first.
-    fn served_in<'a>(
+    /// Returns the models with groups in a fabric domain, starting with the model assigned to it.
+    fn served_models<'a>(
         &self,
         input: &PlannerInput<'a>,
         own: &'a EngineModel,
@@ -199,7 +207,7 @@
         served
     }
 
-    /// Returns the model, of those that its fabric domain serves, that a free engine holds or loads.
+    /// Returns which of the models served in its fabric domain a free engine holds or loads.
     fn useful_model<'a>(
         &self,
         served: &[&'a EngineModel],
@@ -213,7 +221,7 @@
         })
     }
 
-    pub(super) fn note_load(
+    pub(super) fn record_load(
         &mut self,
         now: Timestamp,
         input: &PlannerInput<'_>,
@@ -221,26 +229,27 @@
         model: &EngineModel,
     ) {
         if input.in_traffic {
-            self.starts.push_back(now);
+            self.recent_load_starts.push_back(now);
         }
         let load = Load {
             model: model.model.clone(),
-            give_up_at: now + loading_time(input, model) * LOAD_TIMEOUT_FACTOR,
+            deadline: now + load_duration(input, model) * LOAD_TIMEOUT_FACTOR,
         };
         self.loading.insert(endpoint.clone(), load);
     }
 }
 
-fn loading_time(input: &PlannerInput<'_>, model: &EngineModel) -> Duration {
+fn load_duration(input: &PlannerInput<'_>, model: &EngineModel) -> Duration {
     if input.in_traffic {
         model.load_time
     } else {
-        model.load_time / EARLY_LOADS_FASTER
+        model.load_time / EARLY_LOAD_SPEEDUP
     }
 }
 
-/// Returns the loads that may begin in a window; one at least, or no engine would ever be loaded.
-fn load_starts(input: &PlannerInput<'_>) -> usize {
-    let allowed = input.spec.loads_per_s * LOAD_WINDOW.as_secs_f64();
-    ((allowed * LOAD_STARTS_PART) as usize).max(1)
+/// Returns the number of loads that may start in one window. It is at least one, since otherwise no engine
+/// would ever be loaded.
+fn max_load_starts(input: &PlannerInput<'_>) -> usize {
+    let allowed = input.spec.loads_per_s * LOAD_RATE_WINDOW.as_secs_f64();
+    ((allowed * LOAD_START_FRACTION) as usize).max(1)
 }
--- a/crates/sesamecart-fleet/src/planner/provisioning.rs
+++ b/crates/sesamecart-fleet/src/planner/provisioning.rs
@@ -1,7 +1,8 @@
-//! How well each model is provided with groups, and what another one would be worth.
+//! Computes how well each model is provisioned with groups and the marginal value of another one.
 //!
-//! It answers work that is divided among models otherwise than the configuration expects. Before callers
-//! have shown what they ask, a model needs its share of the engines; afterwards what is asked counts.
+//! The distribution of work among models can differ from what the configuration expects. Until demand has
+//! been observed, each model needs its configured share of the engines. After that, the observed demand
+//! determines the need.
 
 use indexmap::IndexMap;
 use sesamecart_vocabulary::ModelId;
@@ -10,54 +11,55 @@
 use super::{Planner, PlannerInput};
 use crate::catalog::{EngineModel, EngineSpec};
 
-/// The part of all engines that the work is taken to keep busy while it isn't known.
-const PRESUMED_LOAD: f64 = 0.6;
+/// The fraction of all engines that is assumed to be busy while the demand is unknown.
+const ASSUMED_UTILIZATION: f64 = 0.6;
 
-/// The least that a model is taken to need, in groups: callers who ask seldom wait as long for a load.
-const MIN_NEED: f64 = 0.25;
+/// The minimum need of a model, in groups. Callers of a rarely used model wait just as long for a load.
+const MIN_NEEDED_GROUPS: f64 = 0.25;
 
-/// Groups for each one needed beyond which a further one only takes peaks.
-const PEAKS_FROM: f64 = 1.0;
+/// The ratio of groups to needed groups above which an additional group only serves peaks.
+const PEAK_RATIO: f64 = 1.0;
 
-/// What a group that takes peaks is worth, in groups that work needs all the time.
-const PEAKS_WORTH: f64 = 0.3;
+/// The value of a group that only serves peaks, relative to a group with sustained load.
+const PEAK_GROUP_VALUE: f64 = 0.3;
 
-/// Groups for each one needed beyond which a further one only waits for losses.
-const RESERVE_FROM: f64 = 2.0;
+/// The ratio of groups to needed groups above which an additional group is only a reserve for losses.
+const RESERVE_RATIO: f64 = 2.0;
 
-/// What a group that waits for losses is worth, in groups that work needs all the time.
-const RESERVE_WORTH: f64 = 0.05;
+/// The value of a group that is only a reserve for losses, relative to a group with sustained load.
+const RESERVE_GROUP_VALUE: f64 = 0.05;
 
-/// What one model needs and has, in groups.
+/// The number of groups that a model needs and the number that it has.
 #[derive(Clone, Copy, Debug, Default)]
 struct Provision {
-    need: f64,
+    needed_groups: f64,
     groups: f64,
 }
 
-/// What each model needs and has.
+/// The provision of each model.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Provisioning(IndexMap<ModelId, Provision>);
 
 impl Provisioning {
-    /// Returns the groups that a model has for each one that it needs.
+    /// Returns the ratio of groups that a model has to groups that it needs.
     pub(super) fn ratio(&self, model: &ModelId) -> f64 {
         self.0.get(model).map_or(f64::INFINITY, |provision| {
-            provision.groups / provision.need.max(MIN_NEED)
+            provision.groups / provision.needed_groups.max(MIN_NEEDED_GROUPS)
         })
     }
 
-    /// Returns what a change of a model's groups is worth, in groups that work needs all the time.
-    pub(super) fn worth_of_change(&self, model: &ModelId, groups: f64) -> f64 {
+    /// Returns the value of changing the number of a model's groups by `groups`, in units of one group with
+    /// sustained load.
+    pub(super) fn value_of_change(&self, model: &ModelId, groups: f64) -> f64 {
         let Some(provision) = self.0.get(model) else {
             return 0.0;
         };
-        let need = provision.need.max(MIN_NEED);
-        let served = |groups: f64| need * worth_of_ratio(groups.max(0.0) / need);
-        served(provision.groups + groups) - served(provision.groups)
+        let needed_groups = provision.needed_groups.max(MIN_NEEDED_GROUPS);
+        let value = |groups: f64| needed_groups * value_of_ratio(groups.max(0.0) / needed_groups);
+        value(provision.groups + groups) - value(provision.groups)
     }
 
-    /// Counts groups that will be there.
+    /// Adds groups that will be available soon.
     pub(super) fn add(&mut self, model: &ModelId, groups: f64) {
         if let Some(provision) = self.0.get_mut(model) {
             provision.groups += groups;
@@ -65,42 +67,48 @@
     }
 }
 
-/// Returns what so many groups for each one needed are worth, where exactly enough are worth 1.
-fn worth_of_ratio(ratio: f64) -> f64 {
-    let needed = ratio.min(PEAKS_FROM);
-    let for_peaks = (ratio.min(RESERVE_FROM) - PEAKS_FROM).max(0.0);
-    let reserve = (ratio - RESERVE_FROM).max(0.0);
-    needed + for_peaks * PEAKS_WORTH + reserve * RESERVE_WORTH
+/// Returns the value of a ratio of groups to needed groups, where a ratio of 1 has the value 1.
+fn value_of_ratio(ratio: f64) -> f64 {
+    let sustained = ratio.min(PEAK_RATIO);
+    let peak = (ratio.min(RESERVE_RATIO) - PEAK_RATIO).max(0.0);
+    let reserve = (ratio - RESERVE_RATIO).max(0.0);
+    sustained + peak * PEAK_GROUP_VALUE + reserve * RESERVE_GROUP_VALUE
 }
 
-/// Returns the part of the work that each model is expected to get.
+/// Returns the fraction of the work that a model is expected to get.
 pub(super) fn expected_share(spec: &EngineSpec, model: &EngineModel) -> f64 {
-    let all: f64 = spec.models.iter().map(EngineModel::share_or_zero).sum();
-    if all > 0.0 {
-        model.share_or_zero() / all
+    let total: f64 = spec.models.iter().map(EngineModel::share_or_zero).sum();
+    if total > 0.0 {
+        model.share_or_zero() / total
     } else {
         1.0 / spec.models.len().max(1) as f64
     }
 }
 
 impl Planner {
-    /// Returns what each model needs, and the groups that its callers can reach or soon will.
+    /// Returns what each model needs, and the groups that its callers can reach now or soon.
     ///
-    /// Groups of an evacuated failure domain take no requests, so they don't count: the callers of a
-    /// model whose other groups are full would be turned away beside idle engines.
+    /// Groups in an evacuated failure domain take no requests and aren't counted. Otherwise, callers of a
+    /// model whose other groups are full would be refused while engines are idle.
     pub(super) fn provisioning(&self, input: &PlannerInput<'_>) -> Provisioning {
         let engines_count = engines(input).count() as f64;
         let models = input.spec.models.iter();
         let provisions = models.map(|model| {
-            let need = match input.demand {
+            let needed_groups = match input.demand {
                 Some(demand) => demand.groups(&model.model),
                 None => {
                     let share = expected_share(input.spec, model);
-                    share * PRESUMED_LOAD * engines_count / model.group_size as f64
+                    share * ASSUMED_UTILIZATION * engines_count / model.group_size as f64
                 }
             };
             let groups = self.reachable_groups(input, model);
-            (model.model.clone(), Provision { need, groups })
+            (
+                model.model.clone(),
+                Provision {
+                    needed_groups,
+                    groups,
+                },
+            )
         });
         Provisioning(provisions.collect())
     }
--- a/crates/sesamecart-fleet/src/planner/reservation.rs
+++ b/crates/sesamecart-fleet/src/planner/reservation.rs
@@ -1,4 +1,5 @@
-//! Engines that are kept for groups of a model which isn't their fabric domain's, until they have loaded it.
+//! Reserves engines for groups of a model other than the one assigned to their fabric domain, until they have
+//! loaded it.
 
 use std::sync::Arc;
 
@@ -18,20 +19,23 @@
             .is_none_or(|reserved| reserved == model)
     }
 
-    /// Forgets engines that have left, and those whose group serves on or serves the model they were kept for.
-    pub(super) fn tidy_reserved(&mut self, directory: &Directory) {
+    /// Drops the reservations of engines that have left and of engines in a group that is neither being
+    /// closed for another model nor dissolved: either the group keeps serving, or it already serves the
+    /// reserved model.
+    pub(super) fn prune_reservations(&mut self, directory: &Directory) {
         let (conversions, dissolved) = (&self.conversions, &self.dissolved);
         self.reserved.retain(|id, _| {
             let engine = directory.find(id).filter(|_| directory.is_listed(id));
             engine.is_some_and(|engine| {
                 let key = engine.group_key();
-                key.is_none_or(|key| conversions.retires(&key) || dissolved.contains(&key))
+                key.is_none_or(|key| conversions.is_retiring(&key) || dissolved.contains(&key))
             })
         });
     }
 
-    /// Returns whether the weight store has room for so many loads beside those that run or wait.
-    pub(super) fn has_room_for(&self, input: &PlannerInput<'_>, loads: usize) -> bool {
+    /// Returns whether the weight store has capacity for `loads` more loads besides those running or
+    /// reserved.
+    pub(super) fn has_load_capacity(&self, input: &PlannerInput<'_>, loads: usize) -> bool {
         let waiting = self.reserved.iter().filter(|(id, model)| {
             let engine = input.directory.find(id);
             let needs_load = engine.is_some_and(|engine| !holds(engine, model));
@@ -40,7 +44,7 @@
         self.loading.len() + waiting.count() + loads <= input.spec.loads_at_once
     }
 
-    /// Keeps engines for a group of a model: those that hold it, then the empty ones.
+    /// Reserves engines for one group of a model: first those that hold the model, then empty ones.
     pub(super) fn reserve(&mut self, usable: &[&Arc<Endpoint>], model: &EngineModel) {
         let mut usable = usable.to_vec();
         usable.sort_by_key(|engine| {
--- a/crates/sesamecart-fleet/src/planner/summary.rs
+++ b/crates/sesamecart-fleet/src/planner/summary.rs
@@ -1,4 +1,4 @@
-//! What the engines of a service are used for, in a few numbers.
+//! Summarizes how the engines of a service are used.
 
 use sesamecart_vocabulary::ModelId;
 
@@ -6,25 +6,25 @@
 use super::{Planner, PlannerInput};
 use crate::endpoint::EndpointState;
 
-/// What a model has, as its controller sees it.
+/// Group and engine counts of one model, as seen by its controller.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ModelSummary {
     /// The model.
     pub model: ModelId,
-    /// Its open groups.
+    /// The number of open groups.
     pub open: usize,
-    /// Those of them that take requests: none in a failure domain that is evacuated.
+    /// The number of open groups that take requests. Groups in an evacuated failure domain don't.
     pub reachable: usize,
-    /// Its groups that are being formed.
+    /// The number of groups being formed.
     pub forming: usize,
-    /// Engines outside of groups that hold it.
+    /// The number of engines that hold the model and belong to no group.
     pub spare: usize,
-    /// Engines that load it.
+    /// The number of engines that are loading the model.
     pub loading: usize,
 }
 
 impl Planner {
-    /// Counts what each model has, and the engines that hold none and load none.
+    /// Counts the groups and engines of each model, and the engines that neither hold nor load a model.
     #[must_use]
     pub fn summary(&self, input: &PlannerInput<'_>) -> (Vec<ModelSummary>, usize) {
         let mut empty = 0;
@@ -48,17 +48,17 @@
             })
             .collect();
         for engine in engines(input).filter(|engine| engine.state == EndpointState::Ready) {
-            let held = input
+            let held_index = input
                 .spec
                 .models
                 .iter()
                 .position(|known| holds(engine, &known.model));
-            match held {
-                Some(place) if engine.is_open_head() => {
-                    summaries[place].open += 1;
-                    summaries[place].reachable += usize::from(input.directory.takes_work(engine));
+            match held_index {
+                Some(index) if engine.is_open_head() => {
+                    summaries[index].open += 1;
+                    summaries[index].reachable += usize::from(input.directory.takes_work(engine));
                 }
-                Some(place) if engine.group.is_none() => summaries[place].spare += 1,
+                Some(index) if engine.group.is_none() => summaries[index].spare += 1,
                 None if engine.group.is_none() && !self.loading.contains_key(&engine.id) => {
                     empty += 1
                 }
--- a/crates/sesamecart-fleet/src/planner/tests/loading.rs
+++ b/crates/sesamecart-fleet/src/planner/tests/loading.rs
@@ -101,6 +101,6 @@
         demand: None,
     };
     let mut planner = Planner::new(Fence(1), 0);
-    planner.note_load(START, &input, &id("free.2"), &spec.models[1]);
+    planner.record_load(START, &input, &id("free.2"), &spec.models[1]);
     assert!(staged(&mut planner, &spec, &engines).is_empty());
 }
