--- a/crates/sesamecart-fleet/src/planner/assignment/tests.rs
+++ b/crates/sesamecart-fleet/src/planner/assignment/tests.rs
@@ -1,4 +1,4 @@
-//! What is counted while domains change places.
+//! Tests of the engine counts that are kept while domains swap models.
 
 use sesamecart_property::check_property;
 use sesamecart_vocabulary::{FabricDomainId, FailureDomainId};
@@ -6,7 +6,7 @@
 use super::{EngineCounts, Placement, capacity_after_loss};
 use crate::testkit::spec;
 
-/// Guards against exchanges that are judged by counts of before.
+/// Guards against swaps that are evaluated with stale counts.
 #[test]
 fn swapping_placements_updates_the_counts_as_a_recount_would() {
     check_property(
@@ -17,9 +17,9 @@
                 .iter()
                 .enumerate()
                 .map(|(index, (failure_domain, engines, model))| {
-                    let domain = format!("d{index}").parse().expect("a name");
+                    let domain = format!("d{index}").parse().expect("valid name");
                     let failure_domain = format!("f{}", failure_domain % 4);
-                    let failure_domain = failure_domain.parse().expect("a name");
+                    let failure_domain = failure_domain.parse().expect("valid name");
                     (
                         domain,
                         failure_domain,
--- a/crates/sesamecart-fleet/src/planner/summary.rs
+++ b/crates/sesamecart-fleet/src/planner/summary.rs
@@ -30,17 +30,17 @@
         let mut empty = 0;
         let models = input.spec.models.iter();
         let mut summaries: Vec<ModelSummary> = models
-            .map(|known| ModelSummary {
-                model: known.model.clone(),
+            .map(|spec_model| ModelSummary {
+                model: spec_model.model.clone(),
                 forming: self
                     .formations
                     .values()
-                    .filter(|formation| formation.model == known.model)
+                    .filter(|formation| formation.model == spec_model.model)
                     .count(),
                 loading: self
                     .loading
                     .values()
-                    .filter(|load| load.model == known.model)
+                    .filter(|load| load.model == spec_model.model)
                     .count(),
                 open: 0,
                 reachable: 0,
@@ -52,7 +52,7 @@
                 .spec
                 .models
                 .iter()
-                .position(|known| holds(engine, &known.model));
+                .position(|spec_model| holds(engine, &spec_model.model));
             match held_index {
                 Some(index) if engine.is_open_head() => {
                     summaries[index].open += 1;
--- a/crates/sesamecart-fleet/src/planner/tests.rs
+++ b/crates/sesamecart-fleet/src/planner/tests.rs
@@ -1,4 +1,4 @@
-//! Plays engines that come, load, form groups and are lost, and checks what the planner asks for.
+//! Simulates engines that register, load, form groups and are lost, and checks the planned steps.
 
 use std::time::Duration;
 
@@ -54,7 +54,8 @@
     joins.collect()
 }
 
-/// All members of a group; the head is at rank 0 in `head`, the others are ready.
+/// Returns all members of a group. The head, at rank 0, is in the state `head`, and the other members are
+/// ready.
 fn group(
     key: &GroupKey,
     domain: &str,
@@ -77,10 +78,10 @@
     names.map(|(name, domain)| engine(&name, domain)).collect()
 }
 
-/// When all engines come at once, a store that loads six at once must not be given thirty: every
-/// group would be whole only at the end, and the first requests would find none.
+/// If all engines register at once and a weight store that serves six loads at once is given thirty, every
+/// group completes only at the end and the first requests find none.
 #[test]
-fn the_first_groups_are_not_held_up_by_the_others() {
+fn a_cold_start_limits_concurrent_loads_and_covers_both_models() {
     let directory = directory(six_domains_of_nine());
     let mut planner = Planner::new(Fence(1), 0);
     let steps = plan(&mut planner, START, &directory, false);
@@ -94,13 +95,16 @@
     );
 }
 
-/// Loads take ten times longer once requests come, and nobody says when that is. Engines that wait
-/// for their turn then stay empty for half a minute, and callers find too few groups.
+/// Loads take ten times longer once requests arrive, which can happen at any time. Engines that waited for
+/// their turn would then stay empty for half a minute, and callers would find too few groups.
 #[test]
-fn once_half_of_the_engines_hold_a_model_the_others_load_at_once() {
+fn remaining_engines_load_at_once_after_half_hold_a_model() {
     let mut endpoints = six_domains_of_nine();
     for endpoint in endpoints.iter_mut().step_by(2) {
-        let domain = endpoint.fabric_domain.clone().expect("it has one");
+        let domain = endpoint
+            .fabric_domain
+            .clone()
+            .expect("the engine has a fabric domain");
         let serves = if domain.as_str().ends_with('0') {
             "large"
         } else {
@@ -118,11 +122,11 @@
     assert_eq!(joining + staged.count(), 54);
 }
 
-/// Engines are lost two at a time, and a group of sixteen that lacks one serves nobody. When the engines
-/// that two such groups leave over in their domain are spent on the small model, the first losses take
-/// a whole group each, and its callers wait for a load of sixteen seconds.
+/// Engines are lost two at a time, and a group of sixteen that lacks one serves nothing. If the leftover
+/// engines of two such groups in a domain were used for the small model, each of the first losses would take
+/// down a whole group, and its callers would wait for a load of sixteen seconds.
 #[test]
-fn what_large_groups_leave_over_in_their_domain_is_kept_as_their_spares() {
+fn leftover_engines_of_large_groups_are_kept_as_spares() {
     let names = (0..37).map(|index| format!("e{index}"));
     let mut endpoints: Vec<Endpoint> = names.map(|name| engine(&name, "a-0")).collect();
     for endpoint in &mut endpoints {
@@ -149,8 +153,8 @@
     assert_eq!(staged.count(), 5);
 }
 
-/// A group is mended by whoever is ready soonest: a caller of its model waits for 0.2 s instead of
-/// 16 s if the survivors go together with a spare.
+/// The engines that are ready soonest form the next group. If the survivors of a lost group join with a
+/// spare, callers of its model wait for 0.2 s instead of 16 s.
 #[test]
 fn survivors_and_a_staged_spare_form_the_next_group() {
     let lost = key("g1-1", 1);
@@ -174,8 +178,8 @@
     assert_eq!(joins(&steps), [("large", vec!["e1", "e2", "e3", "spare"])]);
 }
 
-/// Groups across fabric domains run three times slower, so engines of two domains aren't put
-/// together even if each domain has too few.
+/// Groups across fabric domains are three times slower, so engines of two domains never form a group, even if
+/// each domain has too few.
 #[test]
 fn a_group_never_spans_two_fabric_domains() {
     let mut endpoints = vec![engine("e1", "a-0"), engine("e2", "a-0")];
@@ -188,8 +192,8 @@
     assert!(joins(&plan(&mut planner, START, &directory, true)).is_empty());
 }
 
-/// A head opens when every member has reported ready under this name and epoch; opened earlier, it
-/// would answer callers with a part of the model missing.
+/// A head may open only after every member has reported ready under the group's name and epoch. If it opened
+/// earlier, it would answer callers while part of the model is missing.
 #[test]
 fn a_group_opens_only_when_all_members_are_ready() {
     let empty = directory(["e1", "e2", "e3"].map(|name| {
@@ -200,7 +204,7 @@
     let mut planner = Planner::new(Fence(1), 0);
     let steps = plan(&mut planner, START, &empty, true);
     let Some(Step::Join(formation)) = steps.first() else {
-        panic!("a group is formed: {steps:?}");
+        panic!("no group was formed: {steps:?}");
     };
     let names: Vec<&str> = formation.members.iter().map(EndpointId::as_str).collect();
     let mut endpoints = group(&formation.key, "a-0", &names, "small", GroupState::Ready);
@@ -217,10 +221,10 @@
     assert!(matches!(steps.as_slice(), [Step::Open(opened)] if opened.key == formation.key));
 }
 
-/// The registry may show a head's opening seconds late. The controller that gave the group up then
-/// must not join its members elsewhere: the head may be open, and they would be in two groups.
+/// The registry may show that a head has opened only seconds later. A controller that has abandoned the group
+/// must not join its members to other groups: the head may be open, and they would be in two groups.
 #[test]
-fn members_of_a_group_that_may_have_opened_are_not_free() {
+fn members_of_a_possibly_open_group_are_not_free() {
     let empty = directory(["e1", "e2", "e3"].map(|name| {
         let mut engine = engine(name, "a-0");
         engine.staged = vec![model("small")];
@@ -229,7 +233,7 @@
     let mut planner = Planner::new(Fence(1), 0);
     let steps = plan(&mut planner, START, &empty, true);
     let Some(Step::Join(formation)) = steps.first() else {
-        panic!("a group is formed: {steps:?}");
+        panic!("no group was formed: {steps:?}");
     };
     let names: Vec<&str> = formation.members.iter().map(EndpointId::as_str).collect();
     let ready = directory(group(
@@ -256,13 +260,13 @@
     );
 }
 
-/// A controller that dies between two orders leaves a group half formed. Its successor knows nothing
-/// of the plan; the engines would stay bound for ever.
+/// A controller that crashes between two steps leaves a partially formed group. Its successor doesn't know
+/// the plan, and the engines would never be released.
 #[test]
-fn a_successor_takes_a_half_formed_group_apart() {
-    let half = key("g1-7", 7);
+fn a_new_controller_dissolves_a_partially_formed_group() {
+    let partial = key("g1-7", 7);
     let directory = directory(group(
-        &half,
+        &partial,
         "a-0",
         &["e1", "e2"],
         "small",
@@ -271,18 +275,18 @@
     let mut planner = Planner::new(Fence(9), 0);
     let steps = plan(&mut planner, START, &directory, true);
     assert!(
-        matches!(steps.as_slice(), [Step::Dissolve(key)] if *key == half),
+        matches!(steps.as_slice(), [Step::Dissolve(key)] if *key == partial),
         "{steps:?}"
     );
 }
 
-/// After a restart of all nodes the groups still serve. Forming them anew would leave callers without
-/// any for seconds.
+/// After a restart of all nodes, the groups are still serving. Forming them again would leave callers without
+/// any group for seconds.
 #[test]
-fn a_successor_leaves_whole_groups_as_they_stand() {
-    let whole = key("g1-7", 7);
+fn a_new_controller_keeps_complete_groups() {
+    let complete = key("g1-7", 7);
     let directory = directory(group(
-        &whole,
+        &complete,
         "a-0",
         &["e1", "e2", "e3"],
         "small",
@@ -292,8 +296,8 @@
     assert!(plan(&mut planner, START, &directory, true).is_empty());
 }
 
-/// A member's entry lapses when it is cut off from the store though it serves on, so the group is
-/// asked before it is taken apart.
+/// The registry entry of a member that is disconnected from the store expires although the member keeps
+/// serving, so the members are asked before the group is dissolved.
 #[test]
 fn a_group_with_a_missing_member_is_examined_first() {
     let group_key = key("g1-7", 7);
@@ -314,8 +318,8 @@
     );
 }
 
-/// A member that says it leaves takes its group with it within seconds. The head is closed, so that
-/// the streams it has end instead of breaking off.
+/// A member that announces its departure takes its group down within seconds. The head is closed so that its
+/// streams finish instead of breaking off.
 #[test]
 fn a_group_with_a_leaving_member_is_closed() {
     let group_key = key("g1-7", 7);
@@ -335,10 +339,10 @@
     );
 }
 
-/// Names that were given before a term ended and began again under the same fence would make engines
-/// refuse the new members, and one of them could be in both groups.
+/// A term that starts again under the same fencing token must not reuse group names. Engines would refuse the
+/// new members, and one of them could be in both groups.
 #[test]
-fn a_new_term_under_the_same_fence_gives_no_name_twice() {
+fn a_new_term_with_the_same_fencing_token_reuses_no_group_name() {
     let endpoints = ["e1", "e2", "e3"].map(|name| {
         let mut engine = engine(name, "a-0");
         engine.staged = vec![model("small")];
@@ -348,7 +352,7 @@
     let mut first = Planner::new(Fence(4), 0);
     let named = |steps: &[Step]| match steps.first() {
         Some(Step::Join(formation)) => formation.key.clone(),
-        other => panic!("a group is formed: {other:?}"),
+        other => panic!("no group was formed: {other:?}"),
     };
     let before = named(&plan(&mut first, START, &directory, true));
     let mut second = Planner::new(Fence(4), first.formed());
@@ -357,29 +361,29 @@
     assert!(after.epoch > before.epoch);
 }
 
-/// The weight store admits so many loads in a window, from all controllers together; a controller
-/// that lost its engines again and again would use it up alone.
+/// The weight store admits a limited number of loads in a window from all controllers together. A controller
+/// that repeatedly loses its engines would use up that limit alone.
 #[test]
-fn loads_in_traffic_keep_to_their_share_of_the_ceiling() {
+fn loads_in_traffic_stay_within_their_share_of_the_rate_limit() {
     let mut planner = Planner::new(Fence(1), 0);
-    let mut begun = 0;
+    let mut started = 0;
     for round in 0..40 {
         let names: Vec<String> = (0..5).map(|index| format!("e{round}-{index}")).collect();
         let endpoints = names.iter().map(|name| engine(name, "a-0"));
         let now = START + Duration::from_millis(100 * round);
         let steps = plan(&mut planner, now, &directory(endpoints), true);
-        begun += steps
+        started += steps
             .iter()
             .filter(|step| matches!(step, Step::Stage { .. }))
             .count();
     }
-    assert!(begun <= 10, "{begun} loads began within four seconds");
+    assert!(started <= 10, "{started} loads started within four seconds");
 }
 
-/// Another operator's weight store admits one load a second. A bound that was made for 4.5 would pass
-/// it, and every load there would be refused or slowed.
+/// The weight store of another operator admits one load per second. A limit hard-coded for 4.5 would exceed
+/// it, and every load there would be rejected or slowed down.
 #[test]
-fn loads_keep_to_the_ceiling_that_the_operator_names() {
+fn loads_stay_within_the_configured_rate_limit() {
     let (service, mut spec) = (service(), spec());
     spec.loads_per_s = 1.0;
     let directory = directory((0..5).map(|index| engine(&format!("e{index}"), "a-0")));
@@ -391,17 +395,18 @@
         demand: None,
     };
     let steps = Planner::new(Fence(1), 0).plan(START, &input);
-    let begun = steps
+    let started = steps
         .iter()
         .filter(|step| matches!(step, Step::Stage { .. }));
-    assert!((1..=2).contains(&begun.count()), "{steps:?}");
+    assert!((1..=2).contains(&started.count()), "{steps:?}");
 }
 
-/// Two domains have lost engines, and empty ones have come to both. Loads are few at once; dealt out engine
-/// by engine, each domain gets a part of what it lacks, and neither group is whole before the last load.
+/// Two domains have lost engines, and empty ones have arrived in both. Few loads can run at once. If they
+/// were distributed engine by engine, each domain would get some of the loads that it needs, and neither
+/// group would be complete before the last load.
 #[test]
-fn the_group_that_lacks_least_gets_all_its_loads_first() {
-    let hold = |mut engine: Endpoint| {
+fn the_group_missing_the_fewest_engines_is_loaded_first() {
+    let with_large = |mut engine: Endpoint| {
         engine.staged = vec![model("large")];
         engine
     };
@@ -411,7 +416,7 @@
             (0..count).map(move |index| (format!("{domain}.held.{index}"), domain))
         });
     let mut endpoints: Vec<Endpoint> = held
-        .map(|(name, domain)| hold(engine(&name, domain)))
+        .map(|(name, domain)| with_large(engine(&name, domain)))
         .collect();
     for (domain, count) in [("a-0", 1), ("b-0", 3)] {
         endpoints.extend((0..count).map(|index| engine(&format!("{domain}.new.{index}"), domain)));
--- a/crates/sesamecart-fleet/src/planner/tests/conversion.rs
+++ b/crates/sesamecart-fleet/src/planner/tests/conversion.rs
@@ -1,4 +1,4 @@
-//! Plays demand that differs from what the configuration expects, and checks which groups callers find.
+//! Simulates demand that differs from the configured shares, and checks which groups callers can reach.
 
 use std::time::Duration;
 
@@ -19,120 +19,125 @@
 ];
 
 fn demand(large: f64, small: f64) -> Option<Demand> {
-    let model = |name: &str| name.parse::<ModelId>().expect("a name");
+    let model = |name: &str| name.parse::<ModelId>().expect("valid name");
     let demand = [(model("large"), large), (model("small"), small)];
     Some(demand.into_iter().collect())
 }
 
-fn started() -> Fleet {
+fn started_fleet() -> Fleet {
     let mut fleet = Fleet::new(&MODELS, &DOMAINS);
     fleet.spec.loads_at_once = 20;
     fleet.spec.loads_per_s = 14.0;
-    fleet.play(Duration::from_secs(12));
+    fleet.advance(Duration::from_secs(12));
     fleet.in_traffic = true;
     fleet
 }
 
-fn open(fleet: &Fleet) -> (usize, usize) {
+fn open_counts(fleet: &Fleet) -> (usize, usize) {
     (fleet.open_groups("large"), fleet.open_groups("small"))
 }
 
-/// Callers ask for the small model far more than its share says. Its groups are full and its callers are
-/// turned away while the large model's groups have hardly anything to do.
+/// Demand for the small model is far above its share. Without conversions, its groups are full and its
+/// callers are refused while the groups of the large model are almost idle.
 #[test]
-fn groups_go_to_the_model_that_callers_ask_for() {
-    let mut fleet = started();
-    assert_eq!(open(&fleet), (6, 12));
+fn groups_are_converted_to_the_model_in_demand() {
+    let mut fleet = started_fleet();
+    assert_eq!(open_counts(&fleet), (6, 12));
     fleet.demand = demand(2.0, 16.0);
-    fleet.play(Duration::from_secs(60));
-    let (large, small) = open(&fleet);
+    fleet.advance(Duration::from_secs(60));
+    let (large, small) = open_counts(&fleet);
     assert!(small >= 16, "{small} groups of the small model");
     assert!(large >= 4, "{large} groups of the large model");
 }
 
-/// A burst that ends before a load would costs two loads of each engine if groups follow it.
+/// If groups are converted for a burst that ends before a load would, each engine is loaded twice for
+/// nothing.
 #[test]
-fn a_burst_shorter_than_a_load_moves_no_group() {
-    let mut fleet = started();
+fn a_burst_shorter_than_a_load_converts_no_group() {
+    let mut fleet = started_fleet();
     for _ in 0..3 {
         fleet.demand = demand(2.0, 20.0);
-        fleet.play(Duration::from_secs(10));
+        fleet.advance(Duration::from_secs(10));
         fleet.demand = demand(2.0, 6.0);
-        fleet.play(Duration::from_secs(4));
+        fleet.advance(Duration::from_secs(4));
     }
-    assert_eq!(open(&fleet), (6, 12));
+    assert_eq!(open_counts(&fleet), (6, 12));
 }
 
-/// An evacuation mostly ends sooner than a load would. Groups that were closed for it are missed by the
-/// callers of their own model, and serve the other one when nobody needs them any more.
+/// An evacuation usually ends sooner than a load. Converted groups would be missing for the callers of their
+/// own model, and would serve the other model when nobody needs them any more.
 #[test]
-fn a_short_evacuation_moves_no_group() {
-    let mut fleet = started();
+fn a_short_evacuation_converts_no_group() {
+    let mut fleet = started_fleet();
     fleet.demand = demand(2.0, 6.0);
-    fleet.evacuated.insert("a".parse().expect("a name"));
-    fleet.play(Duration::from_secs(10));
+    fleet.evacuated.insert("a".parse().expect("valid name"));
+    fleet.advance(Duration::from_secs(10));
     fleet.evacuated.clear();
-    fleet.play(Duration::from_secs(5));
-    assert_eq!(open(&fleet), (6, 12));
+    fleet.advance(Duration::from_secs(5));
+    assert_eq!(open_counts(&fleet), (6, 12));
 }
 
 #[test]
-fn no_group_moves_while_all_models_have_enough() {
-    let mut fleet = started();
+fn no_group_is_converted_while_all_models_have_enough() {
+    let mut fleet = started_fleet();
     fleet.demand = demand(3.0, 6.0);
-    fleet.play(Duration::from_secs(30));
-    assert_eq!(open(&fleet), (6, 12));
+    fleet.advance(Duration::from_secs(30));
+    assert_eq!(open_counts(&fleet), (6, 12));
 }
 
-/// Callers of the model that gives groups up would be turned away if its last ones were closed, or those
-/// in all failure domains but one.
+/// If the last groups of the model that gives groups up were closed, or those in all failure domains but one,
+/// its callers would be refused.
 #[test]
-fn a_model_that_is_hardly_asked_for_keeps_groups_in_two_failure_domains() {
-    let mut fleet = started();
+fn a_model_with_low_demand_keeps_groups_in_two_failure_domains() {
+    let mut fleet = started_fleet();
     fleet.demand = demand(0.0, 60.0);
-    fleet.play(Duration::from_secs(120));
-    let left = ["a", "b", "c"].map(|lost| fleet.groups_without("large", lost));
-    assert!(left.iter().all(|groups| *groups >= 1), "{left:?}");
+    fleet.advance(Duration::from_secs(120));
+    let remaining = ["a", "b", "c"].map(|lost| fleet.groups_without("large", lost));
+    assert!(remaining.iter().all(|groups| *groups >= 1), "{remaining:?}");
 }
 
-/// The weight store loads few engines at once. If changed engines took its places, empty ones that come for
-/// lost ones would wait, and the fleet would shrink while it changes.
+/// The weight store serves few loads at once. If conversions took that capacity, empty replacements for lost
+/// engines would wait, and the fleet would shrink during a conversion.
 #[test]
-fn no_group_moves_while_the_weight_store_is_busy() {
-    let mut fleet = started();
+fn no_group_is_converted_while_the_weight_store_is_busy() {
+    let mut fleet = started_fleet();
     fleet.spec.loads_at_once = 6;
     fleet.demand = demand(2.5, 12.0);
-    fleet.play(Duration::from_secs(30));
-    assert_eq!(open(&fleet), (6, 12));
+    fleet.advance(Duration::from_secs(30));
+    assert_eq!(open_counts(&fleet), (6, 12));
 }
 
-/// A fabric domain of the large model lost so many engines that eleven are left over. They stand idle for
-/// the rest of the day while callers of the small model are turned away.
+/// A fabric domain of the large model has lost so many engines that eleven are left over. Without a
+/// conversion, they are idle for the rest of the day while callers of the small model are refused.
 #[test]
-fn left_over_engines_serve_the_model_that_is_needed() {
-    let mut fleet = started();
+fn leftover_engines_serve_the_model_in_demand() {
+    let mut fleet = started_fleet();
     let large = DOMAINS
         .iter()
-        .find(|(domain, _)| fleet.holding(domain, "large") > 0);
-    let (domain, _) = *large.expect("one holds it");
-    fleet.lose(domain, 7);
+        .find(|(domain, _)| fleet.count_holding(domain, "large") > 0);
+    let (domain, _) = *large.expect("a domain holds the large model");
+    fleet.remove(domain, 7);
     fleet.demand = demand(3.0, 12.0);
     fleet.spec.loads_at_once = 8;
-    let before = open(&fleet).1;
-    fleet.play(Duration::from_secs(10));
-    assert_eq!(open(&fleet).1, before + 1);
-    assert_eq!(fleet.holding(domain, "small"), 6);
+    let before = open_counts(&fleet).1;
+    fleet.advance(Duration::from_secs(10));
+    assert_eq!(open_counts(&fleet).1, before + 1);
+    assert_eq!(fleet.count_holding(domain, "small"), 6);
 }
 
-/// Groups of an evacuated failure domain take no requests. Counted as if they did, the model that has
-/// most of them there seems to have enough while its callers are turned away.
+/// Groups of an evacuated failure domain take no requests. If they were counted, the model with most of its
+/// groups there would seem to have enough while its callers are refused.
 #[test]
-fn groups_in_an_evacuated_failure_domain_do_not_count() {
-    let mut fleet = started();
+fn groups_in_an_evacuated_failure_domain_are_not_counted() {
+    let mut fleet = started_fleet();
     fleet.demand = demand(1.0, 6.0);
-    fleet.play(Duration::from_secs(10));
-    assert_eq!(open(&fleet), (6, 12), "there are enough of both");
-    fleet.evacuated.insert("a".parse().expect("a name"));
-    fleet.play(Duration::from_secs(30));
+    fleet.advance(Duration::from_secs(10));
+    assert_eq!(
+        open_counts(&fleet),
+        (6, 12),
+        "both models have enough groups"
+    );
+    fleet.evacuated.insert("a".parse().expect("valid name"));
+    fleet.advance(Duration::from_secs(30));
     assert!(fleet.groups_without("small", "a") > 8);
 }
--- a/crates/sesamecart-fleet/src/planner/tests/domains.rs
+++ b/crates/sesamecart-fleet/src/planner/tests/domains.rs
@@ -1,4 +1,4 @@
-//! Plays fleets whose fabric domains don't hold every model, or hold them for a time only.
+//! Simulates fleets whose fabric domains are too small for some of the models, permanently or for a while.
 
 use std::time::Duration;
 
@@ -17,10 +17,10 @@
 
 const START: Timestamp = Timestamp(1_000_000);
 
-/// How often the plan is made anew in a play.
+/// The interval between two planning passes of a simulation.
 const TICK: Duration = Duration::from_millis(200);
 
-/// A play in which every order is carried out at once and loads end with the next plan.
+/// A simulated fleet. Every step is executed immediately, and loads finish before the next planning pass.
 pub(super) struct Fleet {
     pub(super) spec: EngineSpec,
     engines: IndexMap<EndpointId, Endpoint>,
@@ -54,23 +54,23 @@
         fleet
     }
 
-    pub(super) fn add(&mut self, domain: &str, wave: &str, engines: usize) {
+    pub(super) fn add(&mut self, domain: &str, batch: &str, engines: usize) {
         for index in 0..engines {
-            let engine = engine(&format!("{domain}.{wave}.{index}"), domain);
+            let engine = engine(&format!("{domain}.{batch}.{index}"), domain);
             self.engines.insert(engine.id.clone(), engine);
         }
     }
 
-    /// Has all hosts of a domain hold a model.
+    /// Loads a model onto all hosts of a domain.
     pub(super) fn stage(&mut self, domain: &str, model: &str) {
         let engines = self.engines.values_mut();
         for engine in engines.filter(|engine| domain_of(engine).as_str() == domain) {
-            engine.staged = vec![model.parse().expect("a name")];
+            engine.staged = vec![model.parse().expect("valid name")];
         }
     }
 
-    /// Loses some engines of a domain; groups that they belonged to end with them.
-    pub(super) fn lose(&mut self, domain: &str, engines: usize) {
+    /// Removes engines of a domain, and dissolves the groups that they belong to.
+    pub(super) fn remove(&mut self, domain: &str, engines: usize) {
         let lost: Vec<EndpointId> = self.in_domain(domain).take(engines).cloned().collect();
         let groups: IndexSet<_> = lost
             .iter()
@@ -97,8 +97,8 @@
         within.map(|engine| &engine.id)
     }
 
-    pub(super) fn play(&mut self, time: Duration) {
-        let until = self.now + time;
+    pub(super) fn advance(&mut self, duration: Duration) {
+        let until = self.now + duration;
         while self.now < until {
             let mut directory = Directory::default();
             for engine in self.engines.values() {
@@ -113,13 +113,13 @@
                 demand: self.demand.as_ref(),
             };
             for step in self.planner.plan(self.now, &input) {
-                self.carry_out(step);
+                self.execute(step);
             }
             self.now = self.now + TICK;
         }
     }
 
-    fn carry_out(&mut self, step: Step) {
+    fn execute(&mut self, step: Step) {
         match step {
             Step::Stage { endpoint, model } => self.engines[&endpoint].staged = vec![model],
             Step::Join(formation) => {
@@ -141,7 +141,9 @@
                     role.state = GroupState::Open;
                 }
             }
-            Step::Close(key) | Step::Retire { key, .. } => self.set_head(&key, GroupState::Ready),
+            Step::Close(key) | Step::Retire { key, .. } => {
+                self.set_head_state(&key, GroupState::Ready)
+            }
             Step::Dissolve(key) => {
                 for engine in self.engines.values_mut() {
                     let role = engine.group.as_ref();
@@ -155,7 +157,7 @@
         }
     }
 
-    fn set_head(&mut self, key: &GroupKey, state: GroupState) {
+    fn set_head_state(&mut self, key: &GroupKey, state: GroupState) {
         let roles = self
             .engines
             .values_mut()
@@ -165,7 +167,7 @@
         }
     }
 
-    /// Returns the open groups of a model that callers reach when a failure domain is gone.
+    /// Returns the number of open groups of a model that callers can reach when a failure domain is lost.
     pub(super) fn groups_without(&self, model: &str, lost: &str) -> usize {
         let heads = self.engines.values().filter(|engine| engine.is_open_head());
         heads
@@ -180,7 +182,7 @@
             .count()
     }
 
-    pub(super) fn holding(&self, domain: &str, model: &str) -> usize {
+    pub(super) fn count_holding(&self, domain: &str, model: &str) -> usize {
         let held = self.in_domain(domain).filter(|id| {
             let staged = &self.engines[*id].staged;
             staged.first().is_some_and(|held| held.as_str() == model)
@@ -190,11 +192,14 @@
 }
 
 fn domain_of(engine: &Endpoint) -> &FabricDomainId {
-    engine.fabric_domain.as_ref().expect("it has one")
+    engine
+        .fabric_domain
+        .as_ref()
+        .expect("the engine has a fabric domain")
 }
 
 /// Checks how many groups of each model are open after a start without losses.
-macro_rules! starts {
+macro_rules! open_after_start {
     ($($(#[doc = $doc:literal])+ $name:ident: $models:expr, $domains:expr => $open:expr;)+) => {
         $(
             $(#[doc = $doc])+
@@ -202,7 +207,7 @@
             fn $name() {
                 let models: &[(&str, usize, f64)] = &$models;
                 let mut fleet = Fleet::new(models, &$domains);
-                fleet.play(Duration::from_secs(12));
+                fleet.advance(Duration::from_secs(12));
                 let open = models.iter().map(|(model, _, _)| fleet.open_groups(model));
                 assert_eq!(open.collect::<Vec<_>>(), $open);
             }
@@ -210,86 +215,88 @@
     };
 }
 
-starts! {
-    /// A model needs more engines than any fabric domain has. It has no groups however many domains it
-    /// gets, so it seems furthest behind for ever; given all of them, no engine serves anybody and all
-    /// callers are refused.
-    a_model_that_no_domain_holds_takes_none:
+open_after_start! {
+    /// A model needs more engines than any fabric domain has. It has no groups however many domains it gets,
+    /// so it always seems the most underprovisioned. If it were assigned to all domains, no engine would
+    /// serve any requests.
+    a_model_too_large_for_every_domain_gets_none:
         [("large", 32, 0.5), ("small", 8, 0.5)], [("a-0", 12), ("b-0", 12), ("c-0", 12)]
         => [0, 3];
-    /// The same where a domain lacks one engine only.
-    a_model_that_lacks_one_engine_in_each_domain_takes_none:
+    /// The same if each domain lacks only one engine.
+    a_model_one_engine_too_large_for_every_domain_gets_none:
         [("large", 10, 0.5), ("small", 3, 0.5)], [("a-0", 9), ("b-0", 9)]
         => [0, 6];
-    /// Domains are of unequal size and the large model fits one of them only. Callers of the small one
-    /// find no group if it takes that domain too.
-    the_only_domain_that_holds_the_large_model_gets_it:
+    /// Domains differ in size, and the large model fits only one of them. Callers of the large model find no
+    /// group if the small model takes that domain too.
+    the_only_domain_that_fits_the_large_model_gets_it:
         [("large", 8, 0.5), ("small", 3, 0.5)], [("a-0", 5), ("b-0", 9), ("c-0", 5)]
         => [1, 2];
-    /// Of three models one fits two domains only. If the others are given these first, it has no group
-    /// while they have more than their share.
+    /// One of three models fits only two domains. If the other models were assigned to them first, it would
+    /// have no group while they have more than their share.
     a_model_that_fits_two_domains_gets_one_of_them:
         [("huge", 12, 0.3), ("large", 4, 0.35), ("small", 3, 0.35)],
         [("a-0", 9), ("a-1", 9), ("b-0", 9), ("b-1", 9), ("c-0", 16), ("c-1", 16)]
         => [2, 4, 6];
-    /// No domain holds any model yet. Engines that stay empty until traffic comes load ten times slower
-    /// then, so they load the model that needs the fewest more.
-    nothing_is_formed_where_every_domain_is_too_small:
+    /// No domain fits any model yet. Engines that stayed empty until traffic starts would load ten times
+    /// slower then, so they load the model that needs the fewest additional engines.
+    no_group_is_formed_if_every_domain_is_too_small:
         [("large", 8, 0.5), ("small", 6, 0.5)], [("a-0", 5), ("b-0", 5)]
         => [0, 0];
 }
 
-/// A domain lacks one engine for the only model that it could serve when the fleet starts, and the engine
-/// comes with the first requests. If the others were left empty until then, their loads take ten times
-/// longer and callers are refused for all that time.
+/// At the start of the fleet, a domain lacks one engine for the only model that it could serve, and that
+/// engine registers with the first requests. If the others were left empty until then, their loads would take
+/// ten times longer, and callers would be refused for all that time.
 #[test]
-fn engines_of_a_domain_that_is_not_whole_yet_are_loaded_before_traffic() {
+fn engines_of_an_incomplete_domain_are_loaded_before_traffic() {
     let mut fleet = Fleet::new(&[("large", 8, 0.5), ("small", 6, 0.5)], &[("a-0", 5)]);
-    fleet.play(Duration::from_secs(12));
-    assert_eq!(fleet.holding("a-0", "small"), 5);
+    fleet.advance(Duration::from_secs(12));
+    assert_eq!(fleet.count_holding("a-0", "small"), 5);
     fleet.in_traffic = true;
     fleet.add("a-0", "second", 1);
-    fleet.play(Duration::from_secs(14));
+    fleet.advance(Duration::from_secs(14));
     assert_eq!(fleet.open_groups("small"), 1);
 }
 
-/// A domain loses so many engines for good that no group of its model is whole any more. Callers of the
-/// other model are refused while its engines stand idle; when engines come later, it isn't loaded anew.
+/// A domain permanently loses so many engines that it can't form a group of its model any more. If it kept
+/// the model, callers of the other model would be refused while its engines are idle. Engines that register
+/// later don't cause it to be reloaded.
 #[test]
-fn a_domain_that_shrank_under_its_model_serves_another_one() {
+fn a_domain_too_small_for_its_model_serves_another_one() {
     let models = [("large", 8, 0.5), ("small", 3, 0.5)];
     let mut fleet = Fleet::new(&models, &[("a-0", 9), ("b-0", 9)]);
-    fleet.play(Duration::from_secs(12));
+    fleet.advance(Duration::from_secs(12));
     assert_eq!(
         (fleet.open_groups("large"), fleet.open_groups("small")),
         (1, 3)
     );
     fleet.in_traffic = true;
-    let shrunk = if fleet.holding("a-0", "large") > 0 {
+    let undersized = if fleet.count_holding("a-0", "large") > 0 {
         "a-0"
     } else {
         "b-0"
     };
-    fleet.lose(shrunk, 3);
-    fleet.play(Duration::from_secs(5));
+    fleet.remove(undersized, 3);
+    fleet.advance(Duration::from_secs(5));
     assert_eq!(
-        fleet.holding(shrunk, "large"),
+        fleet.count_holding(undersized, "large"),
         6,
-        "the lost ones may come back"
+        "the lost engines may return"
     );
-    fleet.play(Duration::from_secs(20));
+    fleet.advance(Duration::from_secs(20));
     assert_eq!(
         (fleet.open_groups("large"), fleet.open_groups("small")),
         (0, 5)
     );
-    fleet.add(shrunk, "second", 3);
-    fleet.play(Duration::from_secs(20));
+    fleet.add(undersized, "second", 3);
+    fleet.advance(Duration::from_secs(20));
     assert_eq!(fleet.open_groups("small"), 6);
 }
 
-/// A model and the engines of its groups; losses name a domain and how many engines it loses.
+/// The models with their group sizes and shares, the sizes of the domains, and the losses with the domain and
+/// the number of engines lost.
 #[derive(Clone, Debug, TypeGenerator)]
-struct Mix {
+struct Scenario {
     #[generator(bolero::produce::<Vec<(u8, u8)>>().with().len(1..4usize))]
     models: Vec<(u8, u8)>,
     #[generator(bolero::produce::<Vec<u8>>().with().len(1..5usize))]
@@ -298,19 +305,19 @@
     losses: Vec<(u8, u8)>,
 }
 
-/// Whatever models, domain sizes and losses come together, engines must not stand idle beside callers
-/// who are refused: in each domain fewer are left over than a group of the model it is kept to needs.
+/// For any combination of models, domain sizes and losses, engines must not be idle while callers are
+/// refused: the leftover engines of each domain are too few for a group of the model assigned to it.
 #[test]
-fn no_mix_of_models_and_losses_leaves_a_whole_group_unformed() {
-    check_property(bolero::produce::<Mix>(), play_mix);
+fn no_scenario_leaves_enough_idle_engines_for_a_group() {
+    check_property(bolero::produce::<Scenario>(), run_scenario);
 }
 
-macro_rules! mixes {
+macro_rules! scenarios {
     ($($name:ident: $models:expr, $domains:expr, $losses:expr;)+) => {
         $(
             #[test]
             fn $name() {
-                play_mix(&Mix {
+                run_scenario(&Scenario {
                     models: $models.to_vec(),
                     domains: $domains.to_vec(),
                     losses: $losses.to_vec(),
@@ -320,46 +327,49 @@
     };
 }
 
-// Mixes in which a spare of a small group once kept a large one from being whole again.
-mixes! {
-    a_spare_of_the_second_model_makes_the_first_whole:
+// Scenarios in which a spare of a small group kept a large group from being completed.
+scenarios! {
+    a_spare_of_the_second_model_completes_a_group_of_the_first:
         [(224, 235), (160, 174), (41, 66)], [219, 63, 239, 63], [(100, 172)];
-    a_spare_of_the_second_of_two_models_makes_the_first_whole:
+    with_two_models_a_spare_of_the_second_completes_a_group_of_the_first:
         [(176, 105), (149, 30)], [220, 193, 232, 74], [(173, 225), (52, 127)];
 }
 
-fn play_mix(mix: &Mix) {
+fn run_scenario(scenario: &Scenario) {
     let names = ["one", "two", "three"];
-    let models = names.iter().zip(&mix.models).map(|(name, (size, share))| {
-        let size = usize::from(size % 12) + 1;
-        (*name, size, f64::from(share % 9 + 1) / 10.0)
-    });
+    let models = names
+        .iter()
+        .zip(&scenario.models)
+        .map(|(name, (size, share))| {
+            let size = usize::from(size % 12) + 1;
+            (*name, size, f64::from(share % 9 + 1) / 10.0)
+        });
     let models: Vec<(&str, usize, f64)> = models.collect();
     let domain = |index: usize| format!("{}-{index}", ["a", "b", "c"][index % 3]);
     let mut fleet = Fleet::new(&models, &[]);
-    for (index, engines) in mix.domains.iter().enumerate() {
+    for (index, engines) in scenario.domains.iter().enumerate() {
         fleet.add(&domain(index), "first", usize::from(engines % 17));
     }
-    fleet.play(Duration::from_secs(12));
+    fleet.advance(Duration::from_secs(12));
     fleet.in_traffic = true;
-    for (index, engines) in &mix.losses {
-        let index = usize::from(*index) % mix.domains.len();
-        fleet.lose(&domain(index), usize::from(engines % 9));
-        fleet.play(Duration::from_secs(2));
+    for (index, engines) in &scenario.losses {
+        let index = usize::from(*index) % scenario.domains.len();
+        fleet.remove(&domain(index), usize::from(engines % 9));
+        fleet.advance(Duration::from_secs(2));
     }
-    fleet.play(Duration::from_secs(30));
-    for index in 0..mix.domains.len() {
-        check_domain(&fleet, &domain(index), mix);
+    fleet.advance(Duration::from_secs(30));
+    for index in 0..scenario.domains.len() {
+        check_domain(&fleet, &domain(index), scenario);
     }
 }
 
-fn check_domain(fleet: &Fleet, domain: &str, mix: &Mix) {
+fn check_domain(fleet: &Fleet, domain: &str, scenario: &Scenario) {
     let ids: Vec<&EndpointId> = fleet.in_domain(domain).collect();
     let free = ids.iter().filter(|id| fleet.engines[**id].group.is_none());
     let free = free.count();
     let fits = |size: usize| size <= ids.len();
     let sizes = fleet.spec.models.iter().map(|model| model.group_size);
-    let Some(least) = sizes.filter(|size| fits(*size)).min() else {
+    let Some(smallest) = sizes.filter(|size| fits(*size)).min() else {
         return;
     };
     let serves: IndexSet<&ModelId> = ids
@@ -369,13 +379,13 @@
         .collect();
     assert!(
         !serves.is_empty(),
-        "{domain} serves nothing, a group takes {least}: {mix:?}"
+        "{domain} serves no model although a group needs only {smallest} engines: {scenario:?}"
     );
     let models = fleet.spec.models.iter();
     let own = models.filter(|model| serves.contains(&model.model));
-    let most = own.map(|model| model.group_size).max().unwrap_or(0);
+    let largest = own.map(|model| model.group_size).max().unwrap_or(0);
     assert!(
-        free < most,
-        "{domain} has {free} left over for groups of {most}: {mix:?}"
+        free < largest,
+        "{domain} has {free} idle engines, enough for a group of {largest}: {scenario:?}"
     );
 }
--- a/crates/sesamecart-fleet/src/planner/tests/loading.rs
+++ b/crates/sesamecart-fleet/src/planner/tests/loading.rs
@@ -1,4 +1,4 @@
-//! Plays a fabric domain with groups of two models whose free engines lack a few for another group.
+//! Simulates a fabric domain with groups of two models whose free engines are a few short of another group.
 
 use super::{START, directory, group};
 use crate::catalog::EngineSpec;
@@ -7,7 +7,7 @@
 use crate::planner::{Planner, PlannerInput, Step};
 use crate::testkit::{engine, engine_model, id, key, model, service, spec};
 
-/// Open groups of both models, and free engines that hold a model or nothing.
+/// Returns the members of one open group of each model, and free engines that hold a model or nothing.
 fn engines(sizes: (usize, usize), free: &[(&str, Option<&str>)]) -> Vec<Endpoint> {
     let names = |prefix: &str, count| -> Vec<String> {
         (0..count)
@@ -61,10 +61,11 @@
     staged.collect()
 }
 
-/// A group lacks one engine and gets a spare of another model. Counted for what its host still holds, the
-/// spare seems to be missing with each plan, and all others are loaded after it.
+/// A group lacks one engine and gets a spare of another model. If the spare were counted by the model that
+/// its host still holds, it would seem to be missing in each planning pass, and all other spares would be
+/// loaded after it.
 #[test]
-fn one_spare_is_loaded_for_one_engine_that_is_missing() {
+fn one_spare_is_loaded_for_one_missing_engine() {
     let free = [
         ("free.0", Some("large")),
         ("free.1", Some("large")),
@@ -80,10 +81,10 @@
     assert!(staged(&mut planner, &spec, &engines).is_empty());
 }
 
-/// A group lacks two engines, and one of the two spares is still loading. Loaded alone, the other one makes no
-/// group whole and is lost to its own model.
+/// A group lacks two engines, and one of the two spares is still loading. If the other one were loaded alone,
+/// it wouldn't complete a group and would be lost to its own model.
 #[test]
-fn a_spare_is_not_loaded_beside_one_that_is_loading() {
+fn a_spare_is_not_loaded_while_another_one_is_loading() {
     let free = [
         ("free.0", Some("large")),
         ("free.1", Some("large")),
--- a/crates/sesamecart-fleet/src/planner/tests/spread.rs
+++ b/crates/sesamecart-fleet/src/planner/tests/spread.rs
@@ -1,4 +1,4 @@
-//! Plays the loss of failure domains, and checks which models callers still reach.
+//! Simulates the loss of failure domains and checks which models callers can still reach.
 
 use std::time::Duration;
 
@@ -9,9 +9,9 @@
 
 const FAILURE_DOMAINS: [&str; 3] = ["a", "b", "c"];
 
-/// Engines of fabric domains come one domain after the other, in the order given; checks how many groups
-/// of each model are left when the failure domain that holds most of them is gone.
-macro_rules! leaves {
+/// Checks how many groups of each model remain when the failure domain with most of them is lost. The engines
+/// register one fabric domain after the other, in the given order.
+macro_rules! left_after_loss {
     ($($(#[doc = $doc:literal])+ $name:ident: $models:expr, $domains:expr => $left:expr;)+) => {
         $(
             $(#[doc = $doc])+
@@ -21,16 +21,16 @@
                 let mut fleet = Fleet::new(models, &[]);
                 for (domain, engines) in $domains {
                     fleet.add(domain, "first", engines);
-                    fleet.play(Duration::from_millis(200));
+                    fleet.advance(Duration::from_millis(200));
                 }
-                fleet.play(Duration::from_secs(12));
-                assert_eq!(left(&fleet, models), $left);
+                fleet.advance(Duration::from_secs(12));
+                assert_eq!(groups_left(&fleet, models), $left);
             }
         )+
     };
 }
 
-fn left(fleet: &Fleet, models: &[(&str, usize, f64)]) -> Vec<usize> {
+fn groups_left(fleet: &Fleet, models: &[(&str, usize, f64)]) -> Vec<usize> {
     let left = models.iter().map(|(model, _, _)| {
         let losses = FAILURE_DOMAINS.iter();
         let left = losses.map(|lost| fleet.groups_without(model, lost));
@@ -39,45 +39,49 @@
     left.collect()
 }
 
-leaves! {
-    /// A failure domain whose engines come first holds one model in both of its fabric domains. When it is
-    /// evacuated, most groups of that model are out, and its callers are refused beside idle engines.
-    models_are_spread_whichever_engines_come_first:
+left_after_loss! {
+    /// If the engines of one failure domain register first, both of its fabric domains could get the same
+    /// model. When it is evacuated, most groups of that model are out of service, and its callers are refused
+    /// while engines are idle.
+    models_are_spread_regardless_of_domain_registration_order:
         [("large", 12, 0.5), ("small", 6, 0.5)],
         [("b-0", 27), ("b-1", 27), ("c-0", 27), ("a-0", 27), ("c-1", 27), ("a-1", 27)]
         => [4, 8];
-    /// A model that is expected to get little work has one fabric domain, and none when that is lost.
+    /// A model with a small expected share could get a single fabric domain, and be gone when that one is
+    /// lost.
     a_model_with_a_small_share_survives_the_loss_of_a_failure_domain:
         [("large", 4, 0.9), ("small", 3, 0.1)],
         [("a-0", 9), ("a-1", 9), ("b-0", 9), ("b-1", 9), ("c-0", 9), ("c-1", 9)]
         => [4, 3];
 }
 
-/// At a start engines register in any order, and the first complete fabric domains get their models before
-/// the others are complete. Where both of a failure domain's hold one model, most of its groups are out
-/// when that is evacuated, and its callers are refused beside idle engines.
+/// On a cold start, engines register in any order, and the first complete fabric domains are assigned before
+/// the others are complete. If both fabric domains of a failure domain get the same model, most of its groups
+/// are out of service when that failure domain is evacuated, and its callers are refused while engines are
+/// idle.
 #[test]
-fn models_are_spread_in_whatever_order_engines_register() {
+fn models_are_spread_regardless_of_engine_registration_order() {
     let models = [("large", 12, 0.5), ("small", 6, 0.5)];
     let domains = ["a-0", "a-1", "b-0", "b-1", "c-0", "c-1"];
     for stride in [5, 7, 11, 13, 17, 19, 23, 25, 29, 31, 35, 37] {
         let mut fleet = Fleet::new(&models, &[]);
         for index in 0..162 {
-            let place = index * stride % 162;
-            fleet.add(domains[place % 6], &format!("{place}"), 1);
+            let position = index * stride % 162;
+            fleet.add(domains[position % 6], &format!("{position}"), 1);
             if index % 20 == 19 {
-                fleet.play(Duration::from_millis(200));
+                fleet.advance(Duration::from_millis(200));
             }
         }
-        fleet.play(Duration::from_secs(12));
-        assert_eq!(left(&fleet, &models), [4, 8], "in steps of {stride}");
+        fleet.advance(Duration::from_secs(12));
+        assert_eq!(groups_left(&fleet, &models), [4, 8], "stride {stride}");
     }
 }
 
-/// Four of six fabric domains hold a model when the last two are given out. Dealt out in the order of their
-/// names, both domains of `b` hold one model, and most of its groups are out when `b` is evacuated.
+/// Four of six fabric domains hold a model when the last two are assigned. If these were assigned in the
+/// order of their names, both domains of `b` would hold the same model, and most of its groups would be out
+/// of service when `b` is evacuated.
 #[test]
-fn the_last_domains_are_given_out_by_what_the_others_hold() {
+fn the_last_domains_are_assigned_by_what_the_others_hold() {
     let models = [("large", 12, 0.5), ("small", 6, 0.5)];
     let domains = ["a-0", "a-1", "b-0", "b-1", "c-0", "c-1"].map(|domain| (domain, 27));
     let mut fleet = Fleet::new(&models, &domains);
@@ -89,11 +93,12 @@
     ] {
         fleet.stage(domain, model);
     }
-    fleet.play(Duration::from_secs(12));
-    assert_eq!(left(&fleet, &models), [4, 8]);
+    fleet.advance(Duration::from_secs(12));
+    assert_eq!(groups_left(&fleet, &models), [4, 8]);
 }
 
-/// The fabric domains of each failure domain, and the models' sizes and shares.
+/// The models with their group sizes and shares, and the fabric domains with their failure domains and
+/// engines.
 #[derive(Clone, Debug, TypeGenerator)]
 struct Deployment {
     #[generator(bolero::produce::<Vec<(u8, u8)>>().with().len(2..4usize))]
@@ -102,10 +107,11 @@
     domains: Vec<(u8, u8)>,
 }
 
-/// Whatever the sizes and shares: where fabric domains can be dealt out so that each model outlives any one
-/// failure domain, they are. Else an evacuation turns all callers of a model away for seconds.
+/// If there is any assignment of fabric domains in which each model survives the loss of any one failure
+/// domain, such an assignment is found. Otherwise, an evacuation causes all callers of a model to be refused
+/// for seconds.
 #[test]
-fn models_survive_the_loss_of_a_failure_domain_wherever_they_can() {
+fn models_survive_the_loss_of_a_failure_domain_if_possible() {
     check_property(bolero::produce::<Deployment>(), |deployment| {
         let names = ["one", "two", "three"];
         let models = names.iter().zip(&deployment.models);
@@ -118,18 +124,19 @@
         let domains: Vec<(&str, usize)> = deployment
             .domains
             .iter()
-            .map(|(place, engines)| {
-                let place = FAILURE_DOMAINS[usize::from(*place) % FAILURE_DOMAINS.len()];
-                (place, usize::from(engines % 6) + 9)
+            .map(|(failure_domain, engines)| {
+                let failure_domain =
+                    FAILURE_DOMAINS[usize::from(*failure_domain) % FAILURE_DOMAINS.len()];
+                (failure_domain, usize::from(engines % 6) + 9)
             })
             .collect();
         let mut fleet = Fleet::new(&models, &[]);
-        for (index, (place, engines)) in domains.iter().enumerate() {
-            fleet.add(&format!("{place}-{index}"), "first", *engines);
+        for (index, (failure_domain, engines)) in domains.iter().enumerate() {
+            fleet.add(&format!("{failure_domain}-{index}"), "first", *engines);
         }
-        fleet.play(Duration::from_secs(12));
+        fleet.advance(Duration::from_secs(12));
         if can_survive(&models, &domains) {
-            let left = left(&fleet, &models);
+            let left = groups_left(&fleet, &models);
             assert!(
                 left.iter().all(|groups| *groups > 0),
                 "{left:?}: {deployment:?}"
@@ -138,29 +145,33 @@
     });
 }
 
-/// Tries all ways to deal out domains, each of which holds a group of any model.
+/// Tries all assignments of models to domains, each of which has room for a group of any model.
 fn can_survive(models: &[(&str, usize, f64)], domains: &[(&str, usize)]) -> bool {
-    let ways = models
+    let assignment_count = models
         .len()
-        .pow(u32::try_from(domains.len()).expect("a few"));
-    (0..ways).any(|way| {
+        .pow(u32::try_from(domains.len()).expect("small number"));
+    (0..assignment_count).any(|assignment| {
         let model_of = |index: usize| {
-            let divisor = models.len().pow(u32::try_from(index).expect("a few"));
-            way / divisor % models.len()
+            let divisor = models
+                .len()
+                .pow(u32::try_from(index).expect("small number"));
+            assignment / divisor % models.len()
         };
         (0..models.len()).all(|model| {
             FAILURE_DOMAINS.iter().all(|lost| {
                 let mut kept = domains.iter().enumerate();
-                kept.any(|(index, (place, _))| model_of(index) == model && place != lost)
+                kept.any(|(index, (failure_domain, _))| {
+                    model_of(index) == model && failure_domain != lost
+                })
             })
         })
     })
 }
 
-/// Three models and six fabric domains in places of which one, two and three lie: each change of one domain or
-/// exchange of two takes a model away to save another one, though all three can be saved.
+/// Three models and six fabric domains, which are spread over the failure domains as one, two and three. Each
+/// single reassignment or swap would remove one model to save another, though all three can be saved.
 #[test]
-fn three_models_survive_where_no_single_change_saves_them() {
+fn three_models_survive_where_no_single_reassignment_or_swap_suffices() {
     let models = [("one", 9, 0.1), ("two", 5, 0.4), ("three", 4, 0.1)];
     let domains = [
         ("b-0", 10),
@@ -171,7 +182,7 @@
         ("c-5", 9),
     ];
     let mut fleet = Fleet::new(&models, &domains);
-    fleet.play(Duration::from_secs(12));
-    let left = left(&fleet, &models);
+    fleet.advance(Duration::from_secs(12));
+    let left = groups_left(&fleet, &models);
     assert!(left.iter().all(|groups| *groups > 0), "{left:?}");
 }
