--- a/crates/sesamecart-fleet/src/allowance.rs
+++ b/crates/sesamecart-fleet/src/allowance.rs
@@ -1,8 +1,8 @@
-//! Bounds that all nodes keep together, each by keeping to its own share.
+//! Fleet-wide rate limits that are divided into one share per node.
 //!
-//! A bound on a sum over nodes can be kept by asking an owner for each use, or by shares. Shares hold
-//! also where nodes can't reach each other; what a quiet node leaves unused is lost, which costs
-//! little as the balancer spreads callers.
+//! A limit on a sum over nodes can be enforced by asking an owner before each use, or by fixed shares.
+//! Shares also work while nodes can't reach each other. The unused share of an idle node is lost, which
+//! costs little because the load balancer spreads callers over the nodes.
 
 use std::time::Duration;
 
@@ -11,145 +11,149 @@
 #[cfg(test)]
 mod tests;
 
-/// The retries that all nodes together may send to one service.
+/// The limit on the retries of all nodes together to one service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryShare {
-    /// Retries earned by each request.
+    /// The number of retries that each request earns.
     pub ratio: f64,
-    /// Retries that may be sent beyond that in a window, by all nodes together.
+    /// The number of retries that all nodes together may send beyond that in one window.
     pub burst: f64,
 }
 
-/// The retries that this node may send to one service.
+/// This node's retry budget for one service.
 ///
-/// Without it every request of a failing service is sent several times, so that load rises just when
-/// less can be borne. A node may save its share of the burst, and besides that what it has earned
-/// within the last [`EARNED_KEPT`].
+/// Without a budget, each request to a failing service is sent several times, so the load rises just when
+/// the service can handle less. A node can save up its share of the burst and, in addition, the retries
+/// that it earned within the last [`EARNED_LIFETIME`].
 ///
-/// What is earned may be spent for a quarter of the window longer than the common bound counts it, and a
-/// part of the bound is held back for that, so it is kept however the nodes spend. The share alone would
-/// be a few retries on a large deployment; the loss of a group ends more of a node's streams at once.
+/// Earned retries stay usable for up to a quarter of the window after the fleet-wide limit has stopped
+/// counting the requests that earned them. A part of the limit is held back for this, so it holds however
+/// the nodes use their budgets. Without the earned retries, the budget of a node in a large deployment
+/// would be only a few retries, but the loss of a group ends more of its streams at once.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryAllowance {
     share: RetryShare,
     saved: f64,
-    most: f64,
-    /// What was earned lately and isn't spent, a part for each [`SLICE`].
-    earned: [f64; SLICES],
-    /// Which slice of time the newest part is for.
+    max_saved: f64,
+    /// The unused retries earned recently, one entry per [`SLICE_DURATION`], newest first.
+    earned: [f64; SLICE_COUNT],
+    /// The number of the time slice of the newest entry.
     slice: u64,
 }
 
-/// The part of the common bound that the nodes' shares add up to; the rest is for nodes that were
-/// added and aren't counted yet.
-const SHARED_OUT: f64 = 0.8;
+/// The fraction of the fleet-wide limit that is divided among the nodes. The rest is reserved for added
+/// nodes that aren't counted yet.
+const SHARED_FRACTION: f64 = 0.8;
 
-/// How long what a request has earned can be spent beyond the share: a quarter of the window, by which
-/// [`SHARED_OUT`] still covers it.
-const EARNED_KEPT: Duration = Duration::from_millis(2_500);
+/// How long earned retries can be used in addition to the share: a quarter of the window, which the reserve
+/// left by [`SHARED_FRACTION`] still covers.
+const EARNED_LIFETIME: Duration = Duration::from_millis(2_500);
 
-/// The parts in which what was earned is kept.
-const SLICES: usize = 5;
+/// The number of time slices in which earned retries are counted.
+const SLICE_COUNT: usize = 5;
 
-/// The time that one of these parts is for.
-const SLICE: Duration = Duration::from_millis(EARNED_KEPT.as_millis() as u64 / SLICES as u64);
+/// The length of one time slice.
+const SLICE_DURATION: Duration =
+    Duration::from_millis(EARNED_LIFETIME.as_millis() as u64 / SLICE_COUNT as u64);
 
 impl RetryAllowance {
-    /// Makes the share of one of `nodes` nodes.
+    /// Creates the budget of one node in a fleet of `nodes` nodes.
     #[must_use]
     pub fn new(share: RetryShare, nodes: usize) -> Self {
-        let most = share.burst * SHARED_OUT / nodes.max(1) as f64;
+        let max_saved = share.burst * SHARED_FRACTION / nodes.max(1) as f64;
         Self {
             share,
-            saved: most,
-            most,
-            earned: [0.0; SLICES],
+            saved: max_saved,
+            max_saved,
+            earned: [0.0; SLICE_COUNT],
             slice: 0,
         }
     }
 
-    /// Follows a change of the number of nodes.
+    /// Adjusts the share to a new number of nodes.
     pub fn set_nodes(&mut self, nodes: usize) {
-        self.most = self.share.burst * SHARED_OUT / nodes.max(1) as f64;
-        self.saved = self.saved.min(self.most);
+        self.max_saved = self.share.burst * SHARED_FRACTION / nodes.max(1) as f64;
+        self.saved = self.saved.min(self.max_saved);
     }
 
-    /// Counts a request, which earns a part of a retry.
+    /// Adds the fraction of a retry that a request earns.
     pub fn deposit(&mut self, now: Timestamp) {
-        self.turn(now);
-        self.earned[0] += self.share.ratio * SHARED_OUT;
+        self.expire_earned(now);
+        self.earned[0] += self.share.ratio * SHARED_FRACTION;
     }
 
-    /// Returns whether there is a retry.
+    /// Returns whether the budget allows a retry.
     pub fn has_left(&mut self, now: Timestamp) -> bool {
-        self.turn(now);
+        self.expire_earned(now);
         self.saved + self.earned.iter().sum::<f64>() >= 1.0
     }
 
-    /// Takes one retry, if there is one.
+    /// Withdraws one retry. Returns whether the budget allowed it.
     pub fn try_withdraw(&mut self, now: Timestamp) -> bool {
         if !self.has_left(now) {
             return false;
         }
-        let mut due = 1.0;
-        // What ends soonest is spent first.
-        for part in self.earned.iter_mut().rev() {
-            let spent = part.min(due);
-            *part -= spent;
-            due -= spent;
+        let mut remaining = 1.0;
+        // The oldest earned retries expire first, so they are used first.
+        for earned in self.earned.iter_mut().rev() {
+            let used = earned.min(remaining);
+            *earned -= used;
+            remaining -= used;
         }
-        self.saved -= due;
+        self.saved -= remaining;
         true
     }
 
-    /// Moves what was earned too long ago to what is saved, as far as the share allows.
-    fn turn(&mut self, now: Timestamp) {
-        let slice = now.0 / u64::try_from(SLICE.as_micros()).unwrap_or(u64::MAX);
-        let passed = slice.saturating_sub(self.slice).min(SLICES as u64);
+    /// Moves expired earned retries to the saved ones, up to the share.
+    fn expire_earned(&mut self, now: Timestamp) {
+        let slice = now.0 / u64::try_from(SLICE_DURATION.as_micros()).unwrap_or(u64::MAX);
+        let passed = slice.saturating_sub(self.slice).min(SLICE_COUNT as u64);
         self.slice = self.slice.max(slice);
         for _ in 0..passed {
-            self.saved = (self.saved + self.earned[SLICES - 1]).min(self.most);
+            self.saved = (self.saved + self.earned[SLICE_COUNT - 1]).min(self.max_saved);
             self.earned.rotate_right(1);
             self.earned[0] = 0.0;
         }
     }
 }
 
-/// The requests that this node may send to one cold endpoint.
+/// This node's rate limit for one cold endpoint.
 ///
-/// A cold endpoint falls over when all nodes at once send it what it could bear when warm.
+/// A cold endpoint fails if all nodes at once send it the load that it can handle when warm.
 #[derive(Clone, Copy, Debug)]
 pub struct ColdAllowance {
     per_s: f64,
     saved: f64,
-    at: Timestamp,
+    refilled_at: Timestamp,
 }
 
-/// The most nodes that send to one cold endpoint; each may send one request at once beyond its rate.
-const COLD_SENDERS: usize = 5;
+/// The maximum number of nodes that send to one cold endpoint. Each may send one request at once beyond its
+/// rate.
+const MAX_COLD_SENDERS: usize = 5;
 
 impl ColdAllowance {
-    /// Makes the share of the node that comes at place `rank` among `nodes` for this endpoint.
+    /// Creates the limit of the node with rank `rank` among `nodes` nodes for this endpoint. `per_s` is the
+    /// rate limit of all nodes together.
     #[must_use]
     pub fn new(now: Timestamp, per_s: f64, rank: usize, nodes: usize) -> Self {
-        let senders = nodes.clamp(1, COLD_SENDERS);
+        let senders = nodes.clamp(1, MAX_COLD_SENDERS);
         let per_s = if rank < senders {
-            per_s * SHARED_OUT / senders as f64
+            per_s * SHARED_FRACTION / senders as f64
         } else {
             0.0
         };
         Self {
             per_s,
             saved: 0.0,
-            at: now,
+            refilled_at: now,
         }
     }
 
-    /// Takes one request, if there is one.
+    /// Takes one request from the limit. Returns whether it allowed the request.
     pub fn take(&mut self, now: Timestamp) -> bool {
-        let passed: Duration = now.since(self.at);
-        self.at = now;
-        self.saved = (self.saved + passed.as_secs_f64() * self.per_s).min(1.0);
+        let elapsed: Duration = now.since(self.refilled_at);
+        self.refilled_at = now;
+        self.saved = (self.saved + elapsed.as_secs_f64() * self.per_s).min(1.0);
         if self.saved < 1.0 {
             return false;
         }
--- a/crates/sesamecart-fleet/src/allowance/tests.rs
+++ b/crates/sesamecart-fleet/src/allowance/tests.rs
@@ -1,4 +1,4 @@
-//! Bounds on sums over all nodes, kept by shares.
+//! Tests that the shares of all nodes together keep to the fleet-wide limits.
 
 use std::time::Duration;
 
@@ -11,10 +11,10 @@
     burst: 132.0,
 };
 
-/// When every attempt of a service fails, each node sends all it may. The sum must keep to the bound
-/// though no node hears of another.
+/// If every attempt at a service fails, each node sends all the retries that it may. The sum must stay
+/// within the limit although the nodes don't communicate.
 #[test]
-fn retries_of_all_nodes_keep_to_the_common_bound() {
+fn retries_of_all_nodes_stay_within_the_fleet_limit() {
     for nodes in [1, 7, 12, 71, 380] {
         let mut retried = 0;
         let mut requests = 0;
@@ -29,18 +29,18 @@
                 }
             }
         }
-        let bound = SHARE.ratio * f64::from(requests) + SHARE.burst;
+        let limit = SHARE.ratio * f64::from(requests) + SHARE.burst;
         assert!(
-            f64::from(retried) <= bound,
-            "{nodes} nodes: {retried} of {bound}"
+            f64::from(retried) <= limit,
+            "{nodes} nodes: {retried} of {limit}"
         );
     }
 }
 
-/// Streams break all at once, when their group is lost. All nodes save up what they may and then spend
-/// it within one moment, again and again; in any ten seconds the sum still keeps to the bound.
+/// The loss of a group breaks many streams at once. All nodes save up their budgets and use them within one
+/// moment, repeatedly. The sum must stay within the limit in every window of ten seconds.
 #[test]
-fn retries_saved_up_and_spent_at_once_keep_to_the_common_bound() {
+fn bursts_of_saved_retries_stay_within_the_fleet_limit() {
     const NODES: usize = 7;
     const WINDOW_MS: u64 = 10_000;
     let mut nodes = vec![RetryAllowance::new(SHARE, NODES); NODES];
@@ -48,13 +48,13 @@
     for ms in (0..60_000).step_by(10) {
         let now = Timestamp::from_millis(ms);
         for node in &mut nodes {
-            // The load halves in every other ten seconds, so that what was earned before counts most.
+            // The load is halved in every second window, so that retries earned earlier weigh most.
             if ms % 20 == 0 || (ms / WINDOW_MS).is_multiple_of(2) {
                 node.deposit(now);
                 requests.push(ms);
             }
-            let spends = ms % 3_700 < 10;
-            while spends && node.try_withdraw(now) {
+            let is_burst = ms % 3_700 < 10;
+            while is_burst && node.try_withdraw(now) {
                 retries.push(ms);
             }
         }
@@ -66,16 +66,20 @@
     for from in (WINDOW_MS..50_000).step_by(100) {
         let windows = [from, from - WINDOW_MS / 2, from - WINDOW_MS];
         let most = windows.map(|from| within(&requests, from));
-        let bound = SHARE.ratio * most.into_iter().fold(0.0, f64::max) + SHARE.burst;
+        let limit = SHARE.ratio * most.into_iter().fold(0.0, f64::max) + SHARE.burst;
         let retried = within(&retries, from);
-        assert!(retried <= bound, "{retried} of {bound} from {from} ms");
+        assert!(
+            retried <= limit,
+            "{retried} of {limit} in the window from {from} ms"
+        );
     }
 }
 
-/// A group that is lost ends more of a node's streams at once than its share of the burst, which is 3
-/// at 71 nodes. Callers would see their streams break though the node has hardly retried anything.
+/// The loss of a group ends more of a node's streams at once than its share of the burst, which is 3 at 71
+/// nodes. With the share alone, callers would see their streams break although the node has hardly retried
+/// anything.
 #[test]
-fn what_was_earned_lately_can_be_spent_at_once() {
+fn recently_earned_retries_can_be_used_at_once() {
     let share = RetryShare {
         ratio: 0.2,
         burst: 272.0,
@@ -87,14 +91,17 @@
     }
     let now = start + Duration::from_millis(2_300);
     let taken = (0..100).filter(|_| allowance.try_withdraw(now)).count();
-    assert_eq!(taken, 5, "3 of the share and 2 of 2.4 that were earned");
+    assert_eq!(taken, 5, "3 from the share and 2 of the 2.4 earned");
     let later = now + Duration::from_secs(60);
-    assert!(!allowance.try_withdraw(later), "nothing was earned since");
+    assert!(
+        !allowance.try_withdraw(later),
+        "no retries were earned since"
+    );
 }
 
-/// A cold endpoint falls over when all nodes at once send it what it bears when warm.
+/// A cold endpoint fails if all nodes at once send it the load that it can handle when warm.
 #[test]
-fn requests_of_all_nodes_to_a_cold_endpoint_keep_to_its_rate() {
+fn requests_of_all_nodes_to_a_cold_endpoint_stay_within_its_rate() {
     let per_s = 38.0;
     for nodes in [1, 4, 7, 71] {
         let mut shares: Vec<ColdAllowance> = (0..nodes)
@@ -118,15 +125,18 @@
         let most = (0..2_000).map(in_any_second).max().unwrap_or(0);
         assert!(
             most as f64 <= per_s * 1.5 + 5.0,
-            "{nodes} nodes sent {most} in a second"
+            "{nodes} nodes sent {most} requests in a second"
+        );
+        assert!(
+            most as f64 >= per_s * 0.5,
+            "{nodes} nodes sent only {most} requests in a second"
         );
-        assert!(most as f64 >= per_s * 0.5, "{nodes} nodes sent only {most}");
     }
 }
 
-/// A node that was idle for long must not save up what it didn't use.
+/// A node must not accumulate the unused limit of a long idle time.
 #[test]
-fn an_idle_share_of_a_cold_endpoint_is_not_saved_up() {
+fn unused_limit_for_a_cold_endpoint_does_not_accumulate() {
     let mut share = ColdAllowance::new(Timestamp::ZERO, 38.0, 0, 7);
     let later = Timestamp::ZERO + Duration::from_secs(60);
     assert!(share.take(later));
--- a/crates/sesamecart-fleet/src/catalog.rs
+++ b/crates/sesamecart-fleet/src/catalog.rs
@@ -1,4 +1,4 @@
-//! The operator's configuration in force: routes, services, customers, limits.
+//! The operator's active configuration: routes, services, customers and limits.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,31 +12,31 @@
 #[cfg(test)]
 mod tests;
 
-/// What a request of a route may be put through.
+/// The delivery guarantee for the requests of a route.
 #[derive(Clone, Copy, Debug, derive_more::Display, Eq, PartialEq)]
 pub enum Delivery {
-    /// It may run more than once.
+    /// A request may run more than once.
     #[display("idempotent")]
     Idempotent,
-    /// It runs at most once for each attempt of its caller.
+    /// A request runs at most once per attempt of its caller.
     #[display("at most once")]
     AtMostOnce,
-    /// Its answer is a stream of events.
+    /// The answer is a stream of events.
     #[display("stream")]
     Stream {
-        /// Whether another endpoint may go on after the last event.
+        /// Whether another endpoint may continue the stream after the last event.
         resumable: bool,
     },
 }
 
 impl Delivery {
-    /// Returns whether a request that may have run can be sent again.
+    /// Returns whether a request may be sent again although it may already have run.
     #[must_use]
     pub const fn may_repeat(self) -> bool {
         matches!(self, Self::Idempotent | Self::Stream { resumable: true })
     }
 
-    /// Returns whether the answer is passed on event by event.
+    /// Returns whether the answer is forwarded event by event.
     #[must_use]
     pub const fn is_stream(self) -> bool {
         matches!(self, Self::Stream { .. })
@@ -48,34 +48,34 @@
 pub struct WeightedService {
     /// The service.
     pub service: ServiceId,
-    /// Its weight beside the route's other services.
+    /// Its weight relative to the route's other services.
     pub weight: u32,
 }
 
-/// Requests of one host under one path prefix.
+/// The route of a host's requests under one path prefix.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PathRoute {
     /// The route's name.
     pub name: String,
-    /// The host that requests name.
+    /// The host name in the requests.
     pub host: String,
-    /// The start of the paths; begins and ends with a slash.
+    /// The prefix of the paths. It starts and ends with a slash.
     pub prefix: String,
-    /// How its requests may be delivered.
+    /// The delivery guarantee for its requests.
     pub delivery: Delivery,
-    /// The longest time that a caller is kept waiting.
+    /// The maximum time that a caller has to wait.
     pub time_limit: Option<Duration>,
-    /// The time to an answer (of a stream: to its first event) that callers are promised.
+    /// The promised time to an answer, or of a stream to its first event.
     pub latency_aim: Option<Duration>,
-    /// The longest pause between events that callers are promised.
+    /// The promised maximum gap between two events of a stream.
     pub pause_aim: Option<Duration>,
-    /// 0 is the most urgent.
+    /// The priority; 0 is the most urgent.
     pub priority: u8,
-    /// The most endpoints to which one attempt of a caller may be sent.
+    /// The maximum number of endpoints to which one attempt of a caller may be sent.
     pub max_attempts: u32,
-    /// Whether requests need no key.
+    /// Whether requests are accepted without an API key.
     pub is_open: bool,
-    /// Where its requests go.
+    /// The services that its requests are distributed over.
     pub services: Vec<WeightedService>,
 }
 
@@ -84,55 +84,57 @@
 pub struct EngineModel {
     /// The model.
     pub model: ModelId,
-    /// The number of engines that hold one replica.
+    /// The number of engines that together hold one replica.
     pub group_size: usize,
-    /// The share of the work that this model is expected to get.
+    /// The model's expected share of the work.
     pub share: f64,
-    /// A factor on the group's times.
+    /// A factor by which the step times of the model's groups are multiplied.
     pub pace: f64,
-    /// How long an engine takes to load it from the weight store.
+    /// The time that an engine takes to load the model from the weight store.
     pub load_time: Duration,
-    /// How long an engine takes to start it once its host holds it.
+    /// The time that an engine takes to start the model once its host holds the weights.
     pub warm_time: Duration,
 }
 
-/// How the engines of a service work.
+/// The properties of a service's engines.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineSpec {
-    /// The requests that one group works on at once.
+    /// The number of requests that one group processes concurrently.
     pub slots: u32,
-    /// The models, in the operator's order.
+    /// The models, in the order of the configuration.
     pub models: Vec<EngineModel>,
-    /// The loads that may begin in a second, over all engines.
+    /// The number of model loads that may start per second, over all engines.
     pub loads_per_s: f64,
-    /// The loads that run at once without slowing each other.
+    /// The number of model loads that can run concurrently without slowing each other down.
     pub loads_at_once: usize,
-    /// How long work takes; nothing where the configuration gives no times that can be used.
+    /// The step times of groups, or nothing if the configuration has no usable times.
     pub steps: Option<StepModel>,
 }
 
-/// Something in a service's engines that can't be used as it stands, and what is done instead.
+/// A property of a service's engines that can't be used as configured. The message also says what is used
+/// instead.
 #[derive(Clone, Debug, derive_more::Display, Eq, PartialEq)]
 pub enum SpecProblem {
-    /// No model has a share of the work that can be used.
+    /// No model has a usable share of the work.
     #[display("no model has a share above 0; all count alike until requests come")]
     NoShares,
-    /// One model's share can't be used.
+    /// The share of one model isn't usable.
     #[display("model {_0} has no share above 0; it gets engines once requests for it come")]
     NoShare(ModelId),
-    /// One model's pace can't be used.
+    /// The pace of one model isn't usable.
     #[display("the pace of model {_0} isn't above 0; it counts as 1")]
     Pace(ModelId),
-    /// The times of steps can't be used.
+    /// The step times aren't usable.
     #[display("the times of steps can't be used; work is counted in requests")]
     Steps,
-    /// The mean request isn't given.
+    /// The token counts of a mean request are missing.
     #[display("the tokens of a mean request are missing; requests that name none count as empty")]
     MeanTokens,
 }
 
 impl EngineSpec {
-    /// Returns what can't be used as it stands; the planner falls back as each problem says.
+    /// Returns the properties that can't be used as configured. The planner uses the fallback that each
+    /// problem names.
     #[must_use]
     pub fn problems(&self) -> Vec<SpecProblem> {
         let mut problems = Vec::new();
@@ -141,12 +143,13 @@
             if self.models.iter().all(|model| lacks_share(&model)) {
                 problems.push(SpecProblem::NoShares);
             } else {
-                let lacking = self.models.iter().filter(lacks_share);
-                problems.extend(lacking.map(|model| SpecProblem::NoShare(model.model.clone())));
+                let without_share = self.models.iter().filter(lacks_share);
+                problems
+                    .extend(without_share.map(|model| SpecProblem::NoShare(model.model.clone())));
             }
         }
-        let slow = self.models.iter().filter(|model| !is_positive(model.pace));
-        problems.extend(slow.map(|model| SpecProblem::Pace(model.model.clone())));
+        let unusable = self.models.iter().filter(|model| !is_positive(model.pace));
+        problems.extend(unusable.map(|model| SpecProblem::Pace(model.model.clone())));
         match &self.steps {
             None => problems.push(SpecProblem::Steps),
             Some(steps) if !(is_positive(steps.mean.prompt) && is_positive(steps.mean.answer)) => {
@@ -157,9 +160,10 @@
         problems
     }
 
-    /// Returns the requests that a group works on at once while each begins in time: its slots, or fewer
-    /// where reading the prompts of so many takes longer than writing their answers. Without the tokens of a
-    /// mean request its slots are all that is known.
+    /// Returns the number of requests that a group can process concurrently while each of them starts in
+    /// time. This is the number of slots, or less if reading the prompts of that many requests takes longer
+    /// than writing their answers. Without the token counts of a mean request, it is always the number of
+    /// slots.
     #[must_use]
     pub fn usable_slots(&self, mean: Option<TokenCounts>) -> u32 {
         let Some(steps) = &self.steps else {
@@ -173,21 +177,22 @@
         (concurrency.ceil() as u32).clamp(1, self.slots.max(1))
     }
 
-    /// Returns the time that a request takes of one of a model's groups.
+    /// Returns the time that a request occupies one of a model's groups.
     ///
-    /// Without times of steps each request counts alike, so that demand is compared by requests.
+    /// Without step times, all requests count the same, so that demand is compared by the number of
+    /// requests.
     #[must_use]
     pub fn group_time(&self, model: &EngineModel, tokens: TokenCounts) -> Duration {
         let Some(steps) = &self.steps else {
-            return UNKNOWN_GROUP_TIME;
+            return DEFAULT_GROUP_TIME;
         };
         steps.group_time(tokens, self.slots, model.usable_pace())
     }
 
-    /// Returns the tokens of a request; those that it doesn't name are those of a mean request.
+    /// Returns the token counts of a request. Missing counts are taken from the mean request.
     #[must_use]
     pub fn tokens(&self, prompt: Option<f64>, answer: Option<f64>) -> TokenCounts {
-        let mean = self.steps.map_or(NO_TOKENS, |steps| steps.mean);
+        let mean = self.steps.map_or(ZERO_TOKENS, |steps| steps.mean);
         TokenCounts {
             prompt: prompt.unwrap_or(mean.prompt),
             answer: answer.unwrap_or(mean.answer),
@@ -196,7 +201,7 @@
 }
 
 impl EngineModel {
-    /// Returns the share of the work, 0 where it can't be used.
+    /// Returns the share of the work, or 0 if it isn't usable.
     #[must_use]
     pub fn share_or_zero(&self) -> f64 {
         if is_positive(self.share) {
@@ -206,7 +211,7 @@
         }
     }
 
-    /// Returns the factor on the group's times, 1 where it can't be used.
+    /// Returns the pace, or 1 if it isn't usable.
     #[must_use]
     pub fn usable_pace(&self) -> f64 {
         if is_positive(self.pace) {
@@ -217,34 +222,35 @@
     }
 }
 
-const NO_TOKENS: TokenCounts = TokenCounts {
+const ZERO_TOKENS: TokenCounts = TokenCounts {
     prompt: 0.0,
     answer: 0.0,
 };
 
-/// What a request takes of a group whose times aren't known.
-const UNKNOWN_GROUP_TIME: Duration = Duration::from_millis(50);
+/// The time that a request occupies a group with unknown step times.
+const DEFAULT_GROUP_TIME: Duration = Duration::from_millis(50);
 
 fn is_positive(value: f64) -> bool {
     value.is_finite() && value > 0.0
 }
 
-/// A service and the rules of its endpoints.
+/// A service and the properties of its endpoints.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
     /// The path of the health check.
     pub health_path: String,
-    /// The connections that one endpoint takes from all callers together.
+    /// The maximum number of connections to one endpoint, for all callers together.
     pub max_connections: u32,
-    /// The requests a second that a cold endpoint bears, from all nodes together; none: no bound.
+    /// The maximum number of requests per second to a cold endpoint, for all nodes together. There is no
+    /// limit if it is missing.
     pub cold_per_s: Option<f64>,
-    /// How its engines work, if it serves models in groups.
+    /// The properties of its engines, if it serves models in groups.
     pub engine: Option<EngineSpec>,
 }
 
 impl Service {
-    /// Returns whether a fabric domain of so many engines may hold a group of a model; one that isn't
-    /// configured needs none.
+    /// Returns whether a fabric domain with `engines` engines has enough of them for a group of a model. A
+    /// model that isn't configured needs none.
     #[must_use]
     pub fn may_hold(&self, model: &ModelId, engines: usize) -> bool {
         let models = self.engine.iter().flat_map(|engine| &engine.models);
@@ -253,53 +259,53 @@
     }
 }
 
-/// A customer whose callers use the system.
+/// A customer of the system.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Customer {
-    /// The customer's name, which endpoints are told.
+    /// The customer's ID, which is also sent to endpoints.
     pub id: CustomerId,
-    /// Goes before the route's priority.
+    /// Overrides the route's priority.
     pub priority: Option<u8>,
 }
 
-/// Bounds on what a caller may send, and how long it may take.
+/// Size and time limits for callers.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Limits {
-    /// The largest head of a request.
+    /// The maximum size of a request's header section.
     pub max_header_bytes: Bytes,
-    /// The largest body of a request.
+    /// The maximum size of a request's body.
     pub max_body_bytes: Bytes,
-    /// How long a head may take to arrive.
+    /// The timeout for receiving a request's header section.
     pub header_time: Duration,
-    /// How long a connection may be idle.
+    /// The idle timeout of a connection.
     pub idle_time: Duration,
 }
 
-/// One configuration, as a whole.
+/// One complete version of the configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Catalog {
-    /// Its version.
+    /// The version of the configuration.
     pub version: CatalogVersion,
     routes: IndexMap<String, Vec<Arc<PathRoute>>>,
-    /// The services by name.
+    /// The services by ID.
     pub services: IndexMap<ServiceId, Service>,
-    /// The customers by key; nothing if requests need no key at all.
+    /// The customers by API key, or nothing if requests need no key at all.
     pub customers: Option<IndexMap<String, Arc<Customer>>>,
-    /// Bounds on callers.
+    /// The limits for callers.
     pub limits: Limits,
 }
 
-/// The route of a request, or why there is none.
+/// The result of looking up a request's route.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RouteMatch {
-    /// The longest prefix of the host that begins the path.
+    /// The route of the host with the longest prefix of the path.
     Found(Arc<PathRoute>),
-    /// No route of the host begins the path.
+    /// No route of the host has a prefix of the path.
     NotFound,
 }
 
 impl Catalog {
-    /// Puts a configuration together; each host's routes are kept longest prefix first.
+    /// Creates a configuration. The routes of each host are sorted by descending prefix length.
     #[must_use]
     pub fn new(
         version: CatalogVersion,
--- a/crates/sesamecart-fleet/src/catalog/tests.rs
+++ b/crates/sesamecart-fleet/src/catalog/tests.rs
@@ -1,4 +1,4 @@
-//! Which route a request takes.
+//! Tests route lookup and the derived properties of engines.
 
 use std::time::Duration;
 
@@ -59,13 +59,13 @@
 routes! {
     the_longest_prefix_wins: "one.example", "/pay/card/1" => Some("pay-card");
     a_prefix_ends_at_a_slash: "one.example", "/pay/cards" => Some("pay");
-    the_root_takes_the_rest: "one.example", "/payments" => Some("all");
-    each_host_has_its_own: "two.example", "/pay/card/1" => Some("other");
-    a_path_without_route_has_none: "two.example", "/" => None;
-    an_unknown_host_has_none: "three.example", "/pay/" => None;
+    the_root_route_matches_all_other_paths: "one.example", "/payments" => Some("all");
+    each_host_has_its_own_routes: "two.example", "/pay/card/1" => Some("other");
+    a_path_without_route_is_not_found: "two.example", "/" => None;
+    an_unknown_host_is_not_found: "three.example", "/pay/" => None;
 }
 
-fn shifted_spec() -> EngineSpec {
+fn spec_with_48_slots() -> EngineSpec {
     EngineSpec {
         slots: 48,
         ..crate::testkit::spec()
@@ -76,48 +76,50 @@
     TokenCounts { prompt, answer }
 }
 
-/// A group that reads long prompts for short answers falls behind long before its slots are taken. Filled up
-/// to them, each prompt waits for twenty others, and all callers get their first event too late.
+/// A group that reads long prompts for short answers falls behind long before all of its slots are
+/// occupied. If all slots were filled, each prompt would wait for twenty others, and all callers would get
+/// their first event too late.
 #[test]
-fn long_prompts_leave_slots_unused() {
-    let spec = shifted_spec();
+fn long_prompts_reduce_usable_slots() {
+    let spec = spec_with_48_slots();
     assert_eq!(spec.usable_slots(Some(tokens(1_640.0, 100.0))), 25);
     assert_eq!(spec.usable_slots(Some(tokens(714.0, 150.0))), 48);
 }
 
 #[test]
-fn without_times_of_steps_all_slots_are_used() {
+fn all_slots_are_usable_without_step_times() {
     let spec = EngineSpec {
         steps: None,
-        ..shifted_spec()
+        ..spec_with_48_slots()
     };
     assert_eq!(spec.usable_slots(Some(tokens(1_640.0, 100.0))), 48);
 }
 
-/// The configuration names the prompt of a mean request and not its answer. Taken for an answer of no tokens,
-/// groups would get two or three requests each, and callers be refused before idle engines.
+/// The configuration has the prompt tokens of a mean request but not its answer tokens. If the answer
+/// counted as empty, groups would get two or three requests each, and callers would be refused while
+/// engines are idle.
 #[test]
-fn without_the_answer_of_a_mean_request_all_slots_are_used() {
-    let spec = shifted_spec();
+fn all_slots_are_usable_without_mean_answer_tokens() {
+    let spec = spec_with_48_slots();
     assert_eq!(spec.usable_slots(Some(tokens(839.0, 0.0))), 48);
 }
 
 #[test]
-fn a_request_takes_the_longer_the_more_tokens_it_has() {
-    let spec = shifted_spec();
+fn group_time_grows_with_tokens() {
+    let spec = spec_with_48_slots();
     let model = &spec.models[0];
     let long = spec.group_time(model, tokens(2_000.0, 150.0));
     assert!(long > spec.group_time(model, tokens(1_000.0, 150.0)));
     assert!(long > spec.group_time(model, tokens(2_000.0, 50.0)));
 }
 
-/// Checks what an operator is told of a service's engines.
+/// Checks the problems reported for a service's engines.
 macro_rules! problems {
     ($($name:ident: $change:expr => $problems:expr;)+) => {
         $(
             #[test]
             fn $name() {
-                let mut spec = shifted_spec();
+                let mut spec = spec_with_48_slots();
                 let change: fn(&mut EngineSpec) = $change;
                 change(&mut spec);
                 assert_eq!(spec.problems(), $problems);
@@ -127,21 +129,21 @@
 }
 
 problems! {
-    a_sound_spec_has_none: |_| {} => [];
-    a_share_of_zero_is_named: |spec| spec.models[0].share = 0.0
-        => [SpecProblem::NoShare("large".parse().expect("a name"))];
-    shares_that_are_all_missing_are_named_once: |spec| {
+    a_valid_spec_has_no_problems: |_| {} => [];
+    a_share_of_zero_is_reported: |spec| spec.models[0].share = 0.0
+        => [SpecProblem::NoShare("large".parse().expect("valid name"))];
+    missing_shares_of_all_models_are_reported_once: |spec| {
         for model in &mut spec.models {
             model.share = 0.0;
         }
     } => [SpecProblem::NoShares];
-    a_pace_of_zero_is_named: |spec| spec.models[1].pace = 0.0
-        => [SpecProblem::Pace("small".parse().expect("a name"))];
-    missing_times_of_steps_are_named: |spec| spec.steps = None => [SpecProblem::Steps];
-    a_mean_request_without_an_answer_is_named: |spec| {
-        spec.steps.as_mut().expect("it has some").mean = tokens(839.0, 0.0);
+    a_pace_of_zero_is_reported: |spec| spec.models[1].pace = 0.0
+        => [SpecProblem::Pace("small".parse().expect("valid name"))];
+    missing_step_times_are_reported: |spec| spec.steps = None => [SpecProblem::Steps];
+    a_mean_request_without_answer_tokens_is_reported: |spec| {
+        spec.steps.as_mut().expect("step times are configured").mean = tokens(839.0, 0.0);
     } => [SpecProblem::MeanTokens];
-    a_missing_mean_request_is_named: |spec| {
-        spec.steps.as_mut().expect("it has some").mean = tokens(0.0, 0.0);
+    a_missing_mean_request_is_reported: |spec| {
+        spec.steps.as_mut().expect("step times are configured").mean = tokens(0.0, 0.0);
     } => [SpecProblem::MeanTokens];
 }
--- a/crates/sesamecart-fleet/src/demand.rs
+++ b/crates/sesamecart-fleet/src/demand.rs
@@ -1,41 +1,42 @@
-//! What callers ask of each model, in the time of its groups.
+//! The demand for each model, measured in busy groups.
 //!
-//! It answers work that is divided among models otherwise than the configuration expects, or shifts
-//! during a day. A request counts when it comes, also one that is refused afterwards: a model whose
-//! callers are turned away needs more groups, and would seem to need fewer by what it serves.
+//! The work may be divided among the models differently than the configuration expects, and the division
+//! may shift during the day. A request counts when it arrives, even if it is refused afterwards: a model
+//! whose callers are refused needs more groups, but would seem to need fewer if only served requests
+//! counted.
 
 use std::time::Duration;
 
 use indexmap::IndexMap;
 use sesamecart_vocabulary::{ModelId, NodeId, Timestamp};
 
-use crate::fading::{FadingSum, covered};
+use crate::decay::{DecayingSum, covered_time};
 use crate::step_model::TokenCounts;
 
 #[cfg(test)]
 mod tests;
 
-/// How long a request counts before its weight has faded to about a third.
-const DEMAND_FADES: Duration = Duration::from_secs(3);
+/// The time constant with which past requests decay.
+const DEMAND_DECAY_TIME: Duration = Duration::from_secs(3);
 
-/// The requests for a model, as far as they haven't faded, from which their mean is taken.
+/// The minimum number of requests, after decay, from which a model's mean request is calculated.
 const MIN_REQUESTS: f64 = 3.0;
 
-/// How long requests have to come before they say what is asked.
-const OBSERVED_FOR: Duration = Duration::from_millis(1_500);
+/// The minimum observation time before demand is estimated.
+const MIN_OBSERVATION_TIME: Duration = Duration::from_millis(1_500);
 
-/// What is asked of each model: how many of its groups have work all the time.
+/// The demand for each model, as the number of its groups that would be busy all the time.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Demand(IndexMap<ModelId, f64>);
 
 impl Demand {
-    /// Returns the groups of a model that have work all the time.
+    /// Returns the number of busy groups of a model.
     #[must_use]
     pub fn groups(&self, model: &ModelId) -> f64 {
         self.0.get(model).copied().unwrap_or(0.0)
     }
 
-    /// Returns each model that is asked for, and the groups of it that have work all the time.
+    /// Returns each requested model with its number of busy groups.
     pub fn iter(&self) -> impl Iterator<Item = (&ModelId, f64)> {
         self.0.iter().map(|(model, groups)| (model, *groups))
     }
@@ -51,18 +52,18 @@
     }
 }
 
-/// What was asked of one model.
+/// The decaying sums over the requests for one model.
 #[derive(Clone, Copy, Debug)]
-struct Asked {
-    group_time: FadingSum,
-    requests: FadingSum,
-    prompt_tokens: FadingSum,
-    answer_tokens: FadingSum,
+struct RequestSums {
+    group_time: DecayingSum,
+    requests: DecayingSum,
+    prompt_tokens: DecayingSum,
+    answer_tokens: DecayingSum,
 }
 
-impl Default for Asked {
+impl Default for RequestSums {
     fn default() -> Self {
-        let sum = FadingSum::new(DEMAND_FADES);
+        let sum = DecayingSum::new(DEMAND_DECAY_TIME);
         Self {
             group_time: sum,
             requests: sum,
@@ -72,22 +73,23 @@
     }
 }
 
-/// What a node knows of what callers ask: its own requests, and what a few other nodes say of theirs.
+/// The demand as known to one node: its own requests and the demand that a few other nodes report.
 ///
-/// The nodes that are heard are a sample. The balancer spreads callers over nodes whatever model they
-/// ask for, so a sample shows how the work is divided, and by the number of nodes about how much it is.
+/// The reporting nodes are a sample. The load balancer spreads callers over the nodes regardless of the
+/// model, so a sample shows how the work is divided among the models, and scaled by the number of nodes,
+/// roughly the total demand.
 #[derive(Clone, Debug, Default)]
 pub struct DemandBook {
-    own: IndexMap<ModelId, Asked>,
-    /// When the first own request came.
+    own: IndexMap<ModelId, RequestSums>,
+    /// The time of this node's first request.
     first_at: Option<Timestamp>,
-    /// When the first request was known of, here or at another node.
+    /// The time at which the first request was known, at this node or another one.
     known_since: Option<Timestamp>,
     peers: IndexMap<NodeId, Demand>,
 }
 
 impl DemandBook {
-    /// Notes a request for a model that takes `group_time` of one of its groups.
+    /// Records a request for a model that takes `group_time` of one of its groups.
     pub fn note(
         &mut self,
         now: Timestamp,
@@ -97,40 +99,40 @@
     ) {
         self.first_at.get_or_insert(now);
         self.known_since.get_or_insert(now);
-        let asked = self.own.entry(model.clone()).or_default();
-        asked.group_time.add(now, group_time.as_secs_f64());
-        asked.requests.add(now, 1.0);
-        asked.prompt_tokens.add(now, tokens.prompt);
-        asked.answer_tokens.add(now, tokens.answer);
+        let sums = self.own.entry(model.clone()).or_default();
+        sums.group_time.add(now, group_time.as_secs_f64());
+        sums.requests.add(now, 1.0);
+        sums.prompt_tokens.add(now, tokens.prompt);
+        sums.answer_tokens.add(now, tokens.answer);
     }
 
-    /// Returns the tokens of a mean request for a model, once a few have come.
+    /// Returns the mean token counts of a model's requests, once enough requests have arrived.
     #[must_use]
     pub fn mean_tokens(&self, now: Timestamp, model: &ModelId) -> Option<TokenCounts> {
-        let asked = self.own.get(model)?;
-        let requests = asked.requests.at(now);
+        let sums = self.own.get(model)?;
+        let requests = sums.requests.at(now);
         (requests >= MIN_REQUESTS).then(|| TokenCounts {
-            prompt: asked.prompt_tokens.at(now) / requests,
-            answer: asked.answer_tokens.at(now) / requests,
+            prompt: sums.prompt_tokens.at(now) / requests,
+            answer: sums.answer_tokens.at(now) / requests,
         })
     }
 
-    /// Returns what this node's own callers ask.
+    /// Returns the demand of this node's own callers.
     #[must_use]
     pub fn own(&self, now: Timestamp) -> Demand {
         let Some(first_at) = self.first_at else {
             return Demand::default();
         };
-        let covered = covered(now.since(first_at), DEMAND_FADES).as_secs_f64();
+        let covered_s = covered_time(now.since(first_at), DEMAND_DECAY_TIME).as_secs_f64();
         let own = self.own.iter();
-        own.map(|(model, asked)| {
-            let groups = asked.group_time.at(now) / covered.max(f64::EPSILON);
+        own.map(|(model, sums)| {
+            let groups = sums.group_time.at(now) / covered_s.max(f64::EPSILON);
             (model.clone(), groups)
         })
         .collect()
     }
 
-    /// Takes in what another node says of its own callers.
+    /// Records the demand of another node's callers.
     pub fn apply_peer_demand(&mut self, now: Timestamp, node: &NodeId, demand: Demand) {
         if demand.iter().any(|(_, groups)| groups > 0.0) {
             self.known_since.get_or_insert(now);
@@ -138,27 +140,27 @@
         self.peers.insert(node.clone(), demand);
     }
 
-    /// Forgets what a node said that can't be heard any more.
+    /// Removes the demand of a node that is no longer reachable.
     pub fn drop_peer(&mut self, node: &NodeId) {
         self.peers.swap_remove(node);
     }
 
-    /// Estimates what the callers of all `nodes` nodes ask; nothing before requests have come for long
-    /// enough.
+    /// Estimates the demand of the callers of all `nodes` nodes. Returns nothing until requests have been
+    /// observed for long enough.
     #[must_use]
     pub fn estimate(&self, now: Timestamp, nodes: usize) -> Option<Demand> {
-        if now.since(self.known_since?) < OBSERVED_FOR {
+        if now.since(self.known_since?) < MIN_OBSERVATION_TIME {
             return None;
         }
-        let mut heard = self.own(now);
+        let mut sampled = self.own(now);
         for peer in self.peers.values() {
             for (model, groups) in &peer.0 {
-                heard.add(model, *groups);
+                sampled.add(model, *groups);
             }
         }
         let sample = 1 + self.peers.len();
         let scale = nodes.max(sample) as f64 / sample as f64;
-        let scaled = heard
+        let scaled = sampled
             .0
             .into_iter()
             .map(|(model, groups)| (model, groups * scale));
--- a/crates/sesamecart-fleet/src/demand/tests.rs
+++ b/crates/sesamecart-fleet/src/demand/tests.rs
@@ -1,4 +1,4 @@
-//! Plays requests that come to some nodes, and checks what is taken for the demand of all.
+//! Simulates requests at some nodes and checks the estimated demand of all nodes.
 
 use std::time::Duration;
 
@@ -15,15 +15,15 @@
 };
 
 fn model(name: &str) -> ModelId {
-    name.parse().expect("a name")
+    name.parse().expect("valid name")
 }
 
 fn node(name: &str) -> NodeId {
-    name.parse().expect("a name")
+    name.parse().expect("valid name")
 }
 
-/// Notes `per_s` requests a second that take `group_time` each, for `time` from `from` on.
-fn ask(
+/// Records `per_s` requests per second that take `group_time` each, for `time` from `from` on.
+fn record_requests(
     book: &mut DemandBook,
     from: Timestamp,
     time: Duration,
@@ -31,11 +31,11 @@
     per_s: u32,
     group_time: Duration,
 ) {
-    let every = Duration::from_secs(1) / per_s;
+    let interval = Duration::from_secs(1) / per_s;
     let mut now = from;
     while now < from + time {
         book.note(now, &model(name), group_time, TOKENS);
-        now = now + every;
+        now = now + interval;
     }
 }
 
@@ -43,58 +43,59 @@
     let error = (value - expected).abs();
     assert!(
         error < expected * 0.1,
-        "{value} where {expected} is expected"
+        "expected about {expected}, got {value}"
     );
 }
 
 #[test]
-fn demand_is_the_rate_of_requests_times_what_each_takes() {
+fn demand_is_request_rate_times_group_time() {
     let mut book = DemandBook::default();
     let time = Duration::from_secs(10);
-    ask(&mut book, START, time, "m", 50, Duration::from_millis(40));
+    record_requests(&mut book, START, time, "m", 50, Duration::from_millis(40));
     assert_close(book.own(START + time).groups(&model("m")), 2.0);
 }
 
-/// The first seconds of traffic show too little if the sum is taken for a full window's.
+/// In the first seconds of traffic, the sum covers less than the full time constant. Divided by the latter,
+/// it would give too low a rate.
 #[test]
-fn demand_is_not_underestimated_when_requests_have_just_begun() {
+fn demand_is_not_underestimated_when_traffic_has_just_started() {
     let mut book = DemandBook::default();
     let time = Duration::from_secs(2);
-    ask(&mut book, START, time, "m", 50, Duration::from_millis(40));
+    record_requests(&mut book, START, time, "m", 50, Duration::from_millis(40));
     assert_close(book.own(START + time).groups(&model("m")), 2.0);
 }
 
 #[test]
-fn demand_that_has_ended_fades() {
+fn demand_decays_when_requests_stop() {
     let mut book = DemandBook::default();
     let time = Duration::from_secs(10);
-    ask(&mut book, START, time, "m", 50, Duration::from_millis(40));
+    record_requests(&mut book, START, time, "m", 50, Duration::from_millis(40));
     let later = START + time + Duration::from_secs(9);
     assert!(book.own(later).groups(&model("m")) < 0.2);
 }
 
 #[test]
-fn the_demand_of_all_nodes_is_worked_out_from_those_that_are_heard() {
+fn fleet_demand_is_extrapolated_from_reporting_nodes() {
     let mut book = DemandBook::default();
     let time = Duration::from_secs(10);
-    ask(&mut book, START, time, "m", 50, Duration::from_millis(10));
+    record_requests(&mut book, START, time, "m", 50, Duration::from_millis(10));
     for peer in ["n2", "n3"] {
         let demand: Demand = [(model("m"), 0.5), (model("other"), 0.25)]
             .into_iter()
             .collect();
         book.apply_peer_demand(START, &node(peer), demand);
     }
-    let all = book.estimate(START + time, 60).expect("it is known");
+    let all = book.estimate(START + time, 60).expect("demand is known");
     assert_close(all.groups(&model("m")), 30.0);
     assert_close(all.groups(&model("other")), 10.0);
     book.drop_peer(&node("n2"));
-    let all = book.estimate(START + time, 60).expect("it is known");
+    let all = book.estimate(START + time, 60).expect("demand is known");
     assert_close(all.groups(&model("other")), 7.5);
 }
 
-/// Groups moved for the first request's sake would be moved back a second later.
+/// Groups that are moved because of the first request alone would be moved back a second later.
 #[test]
-fn nothing_is_said_before_requests_have_come_for_a_while() {
+fn demand_is_unknown_before_the_minimum_observation_time() {
     let mut book = DemandBook::default();
     assert_eq!(book.estimate(START, 3), None);
     book.note(START, &model("m"), Duration::from_millis(40), TOKENS);
@@ -103,7 +104,7 @@
 }
 
 #[test]
-fn the_mean_request_of_a_model_is_known_once_a_few_have_come() {
+fn mean_tokens_are_known_after_the_minimum_number_of_requests() {
     let mut book = DemandBook::default();
     let time = Duration::from_millis(40);
     book.note(START, &model("m"), time, TOKENS);
@@ -115,7 +116,7 @@
         };
         book.note(START, &model("m"), time, tokens);
     }
-    let mean = book.mean_tokens(START, &model("m")).expect("it is known");
+    let mean = book.mean_tokens(START, &model("m")).expect("mean is known");
     assert_close(mean.prompt, 700.0);
     assert_close(mean.answer, 150.0);
 }
--- a/crates/sesamecart-fleet/src/directory.rs
+++ b/crates/sesamecart-fleet/src/directory.rs
@@ -1,4 +1,4 @@
-//! All endpoints that a node knows of, and the groups that they form.
+//! The endpoints known to a node, and the groups that they form.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,38 +14,38 @@
 #[cfg(test)]
 mod tests;
 
-/// How long an endpoint that left the registry is remembered.
+/// How long an endpoint is kept after it left the registry. It is longer than a head can stall.
 ///
-/// A member that fell silent lapses from the registry while its head still stands still; without its
-/// address nobody could ask whether it is really gone. It is longer than a head stalls.
-const REMEMBERED: Duration = Duration::from_secs(12);
+/// The entry of an unresponsive member expires from the registry while the group's head is still stalled.
+/// Without the member's address, nobody could probe whether it is really gone.
+const GONE_RETENTION: Duration = Duration::from_secs(12);
 
-/// One membership of a group; a name may be used again under another epoch.
+/// The identity of one membership of a group. A group name may be used again with a different epoch.
 #[derive(Clone, Debug, derive_more::Display, Eq, Hash, Ord, PartialEq, PartialOrd)]
 #[display("{group}@{epoch}")]
 pub struct GroupKey {
-    /// The group's name.
+    /// The group's ID.
     pub group: GroupId,
     /// The epoch of this membership.
     pub epoch: GroupEpoch,
 }
 
 #[derive(Clone, Debug)]
-struct Known {
+struct Entry {
     endpoint: Arc<Endpoint>,
     seen_at: Timestamp,
-    /// When it left the registry; it gets nothing new since then.
+    /// When the endpoint left the registry, after which it gets no new work.
     gone_at: Option<Timestamp>,
 }
 
-/// A group as its members' entries show it.
+/// A group as described by the registry entries of its members.
 #[derive(Clone, Debug)]
 pub struct GroupView {
-    /// Which one it is.
+    /// The group's membership.
     pub key: GroupKey,
-    /// The members by rank; nothing where no known endpoint has that rank.
+    /// The members by rank, or nothing if no known endpoint has that rank.
     pub members: Vec<Option<Arc<Endpoint>>>,
-    /// Whether each of these is in the registry and not about to leave.
+    /// Whether all members are in the registry and none of them is draining.
     pub is_sound: bool,
 }
 
@@ -56,7 +56,7 @@
         self.members.first()?.as_ref()
     }
 
-    /// Returns how far the head is.
+    /// Returns the group state of the head.
     #[must_use]
     pub fn head_state(&self) -> Option<GroupState> {
         let head = self.head()?;
@@ -64,85 +64,88 @@
     }
 }
 
-/// All endpoints that a node knows of.
+/// All endpoints known to a node.
 ///
-/// It is published as a whole, so that a request decides by one state of the registry.
+/// It is published as a whole, so that each request uses one consistent state of the registry.
 #[derive(Clone, Debug, Default)]
 pub struct Directory {
-    endpoints: IndexMap<EndpointId, Known>,
+    endpoints: IndexMap<EndpointId, Entry>,
     evacuated: IndexSet<FailureDomainId>,
 }
 
 impl Directory {
-    /// Takes an endpoint's entry in.
+    /// Adds or replaces an endpoint's entry.
     pub fn put(&mut self, now: Timestamp, endpoint: Endpoint) {
         let id = endpoint.id.clone();
-        let known = Known {
+        let entry = Entry {
             endpoint: Arc::new(endpoint),
             seen_at: now,
             gone_at: None,
         };
-        self.endpoints.insert(id, known);
+        self.endpoints.insert(id, entry);
     }
 
-    /// Notes that an endpoint's entry is gone; returns whether it was there.
+    /// Marks an endpoint as gone from the registry. Returns whether it was listed.
     pub fn remove(&mut self, now: Timestamp, id: &EndpointId) -> bool {
         match self.endpoints.get_mut(id) {
-            Some(known) if known.gone_at.is_none() => {
-                known.gone_at = Some(now);
+            Some(entry) if entry.gone_at.is_none() => {
+                entry.gone_at = Some(now);
                 true
             }
             _ => false,
         }
     }
 
-    /// Forgets endpoints that left long ago.
+    /// Removes endpoints that left the registry long ago.
     pub fn forget(&mut self, now: Timestamp) {
-        self.endpoints
-            .retain(|_, known| known.gone_at.is_none_or(|at| now.since(at) < REMEMBERED));
+        self.endpoints.retain(|_, entry| {
+            entry
+                .gone_at
+                .is_none_or(|at| now.since(at) < GONE_RETENTION)
+        });
     }
 
-    /// Sets the failure domains that get no new work.
+    /// Sets the evacuated failure domains, which get no new work.
     pub fn set_evacuated(&mut self, domains: IndexSet<FailureDomainId>) {
         self.evacuated = domains;
     }
 
-    /// Returns the failure domains that get no new work.
+    /// Returns the evacuated failure domains, which get no new work.
     #[must_use]
     pub const fn evacuated(&self) -> &IndexSet<FailureDomainId> {
         &self.evacuated
     }
 
-    /// Returns the names of the endpoints in the registry.
+    /// Returns the IDs of the endpoints in the registry.
     pub fn listed_ids(&self) -> impl Iterator<Item = &EndpointId> {
-        let listed = self.endpoints.iter();
-        listed
-            .filter(|(_, known)| known.gone_at.is_none())
+        let entries = self.endpoints.iter();
+        entries
+            .filter(|(_, entry)| entry.gone_at.is_none())
             .map(|(id, _)| id)
     }
 
     /// Returns the endpoints in the registry.
     pub fn listed(&self) -> impl Iterator<Item = &Arc<Endpoint>> {
-        let listed = self.endpoints.values();
-        listed
-            .filter(|known| known.gone_at.is_none())
-            .map(|known| &known.endpoint)
+        let entries = self.endpoints.values();
+        entries
+            .filter(|entry| entry.gone_at.is_none())
+            .map(|entry| &entry.endpoint)
     }
 
-    /// Returns an endpoint, also one that has left lately.
+    /// Returns an endpoint, even if it left the registry recently.
     #[must_use]
     pub fn find(&self, id: &EndpointId) -> Option<&Arc<Endpoint>> {
-        self.endpoints.get(id).map(|known| &known.endpoint)
+        self.endpoints.get(id).map(|entry| &entry.endpoint)
     }
 
     /// Returns whether an endpoint is in the registry.
     #[must_use]
     pub fn is_listed(&self, id: &EndpointId) -> bool {
-        let known = self.endpoints.get(id);
-        known.is_some_and(|known| known.gone_at.is_none())
+        let entry = self.endpoints.get(id);
+        entry.is_some_and(|entry| entry.gone_at.is_none())
     }
 
-    /// Returns whether an endpoint may get new work, as far as the registry and operators say.
+    /// Returns whether the registry and the operators allow new work for an endpoint.
     #[must_use]
     pub fn takes_work(&self, endpoint: &Endpoint) -> bool {
         endpoint.state == EndpointState::Ready
@@ -150,14 +153,14 @@
             && self.is_listed(&endpoint.id)
     }
 
-    /// Returns whether an endpoint bears only a little now.
+    /// Returns whether an endpoint is still cold and can only handle a low rate of requests.
     #[must_use]
     pub fn is_cold(&self, now: Timestamp, id: &EndpointId) -> bool {
-        let known = self.endpoints.get(id);
-        known.is_some_and(|known| now.since(known.seen_at) < known.endpoint.cold_for)
+        let entry = self.endpoints.get(id);
+        entry.is_some_and(|entry| now.since(entry.seen_at) < entry.endpoint.cold_for)
     }
 
-    /// Returns the engines of the fabric domain that has the most of a service's.
+    /// Returns the largest number of a service's engines in one fabric domain.
     #[must_use]
     pub fn largest_fabric_domain(&self, service: &ServiceId) -> usize {
         let mut domains: IndexMap<&FabricDomainId, usize> = IndexMap::new();
@@ -172,7 +175,8 @@
         domains.into_values().max().unwrap_or(0)
     }
 
-    /// Returns the endpoints of a service that may get new work for a model, or for none.
+    /// Returns the endpoints of a service that may get new work. With a model, these are only the open
+    /// group heads that serve it.
     pub fn candidates<'a>(
         &'a self,
         service: &'a ServiceId,
@@ -186,7 +190,8 @@
             })
     }
 
-    /// Returns the groups whose members are known, with a place for each of `size(model)` ranks.
+    /// Returns the groups of a service that have known members. `size` is the number of ranks of a model's
+    /// group.
     #[must_use]
     pub fn groups(
         &self,
@@ -194,9 +199,9 @@
         size: impl Fn(&ModelId) -> Option<usize>,
     ) -> IndexMap<GroupKey, GroupView> {
         let mut groups: IndexMap<GroupKey, GroupView> = IndexMap::new();
-        let known = self.endpoints.values();
-        for known in known.filter(|known| known.endpoint.service == *service) {
-            let endpoint = &known.endpoint;
+        let entries = self.endpoints.values();
+        for entry in entries.filter(|entry| entry.endpoint.service == *service) {
+            let endpoint = &entry.endpoint;
             let (Some(role), Some(key)) = (&endpoint.group, endpoint.group_key()) else {
                 continue;
             };
@@ -206,9 +211,9 @@
                 is_sound: true,
             });
             let size = endpoint.models.first().and_then(&size).unwrap_or(0);
-            let places = size.max(role.rank + 1).max(group.members.len());
-            group.members.resize(places, None);
-            group.is_sound &= known.gone_at.is_none() && endpoint.state == EndpointState::Ready;
+            let ranks = size.max(role.rank + 1).max(group.members.len());
+            group.members.resize(ranks, None);
+            group.is_sound &= entry.gone_at.is_none() && endpoint.state == EndpointState::Ready;
             group.members[role.rank] = Some(Arc::clone(endpoint));
         }
         for group in groups.values_mut() {
@@ -217,10 +222,10 @@
         groups
     }
 
-    /// Returns the members of one membership, also those that have left the registry lately.
+    /// Returns the members of one membership, including those that left the registry recently.
     pub fn members<'a>(&'a self, key: &'a GroupKey) -> impl Iterator<Item = &'a Arc<Endpoint>> {
-        let known = self.endpoints.values().map(|known| &known.endpoint);
-        known.filter(move |endpoint| {
+        let endpoints = self.endpoints.values().map(|entry| &entry.endpoint);
+        endpoints.filter(move |endpoint| {
             let role = endpoint.group.as_ref();
             role.is_some_and(|role| role.group == key.group && role.epoch == key.epoch)
         })
--- a/crates/sesamecart-fleet/src/directory/tests.rs
+++ b/crates/sesamecart-fleet/src/directory/tests.rs
@@ -1,4 +1,4 @@
-//! What a node takes from the registry.
+//! Tests the endpoints and groups that a node derives from the registry.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
     found.map(|endpoint| endpoint.id.to_string()).collect()
 }
 
-/// Members that aren't the head refuse requests, and a head that isn't open has nobody behind it.
+/// Members other than the head refuse requests, and a head that isn't open has no complete group.
 #[test]
 fn only_open_heads_take_requests_for_a_model() {
     let mut directory = Directory::default();
@@ -52,34 +52,37 @@
     assert!(candidates(&directory, Some("small")).is_empty());
 }
 
-/// An operator takes a failure domain out at short notice; what still goes there is lost with it.
+/// An operator evacuates a failure domain at short notice. Work that is still sent there is lost with it.
 #[test]
-fn an_evacuated_failure_domain_takes_nothing() {
+fn an_evacuated_failure_domain_gets_no_requests() {
     let mut directory = Directory::default();
     directory.put(NOW, engine("here", "a-0"));
     directory.put(NOW, engine("there", "b-0"));
-    directory.set_evacuated(IndexSet::from(["b".parse().expect("a name")]));
+    directory.set_evacuated(IndexSet::from(["b".parse().expect("valid name")]));
     assert_eq!(candidates(&directory, None), ["here"]);
 }
 
-/// An endpoint that leaves, or whose entry is gone, serves on for a moment only; requests that still
-/// go there break off.
+/// An endpoint that is draining or whose entry is gone serves only for a moment longer. Requests that are
+/// still sent there would be interrupted.
 #[test]
-fn leaving_and_missing_endpoints_take_nothing() {
+fn draining_and_gone_endpoints_get_no_requests() {
     let mut directory = Directory::default();
-    let mut leaving = engine("leaving", "a-0");
-    leaving.state = EndpointState::Draining;
-    directory.put(NOW, leaving);
+    let mut draining = engine("draining", "a-0");
+    draining.state = EndpointState::Draining;
+    directory.put(NOW, draining);
     directory.put(NOW, engine("gone", "a-0"));
     assert!(directory.remove(NOW, &id("gone")));
     assert!(candidates(&directory, None).is_empty());
-    assert!(!directory.remove(NOW, &id("gone")), "it is gone already");
+    assert!(
+        !directory.remove(NOW, &id("gone")),
+        "it was already removed"
+    );
 }
 
-/// A member that fell silent lapses from the registry before anybody asked it. Its address is kept, or
-/// its group could never be examined whole.
+/// The entry of an unresponsive member expires from the registry before anybody has probed it. Without its
+/// address, its group could never be probed completely.
 #[test]
-fn members_that_left_lately_are_remembered_for_a_while() {
+fn members_that_left_recently_are_kept_for_a_while() {
     let mut directory = Directory::default();
     let group = key("g", 1);
     directory.put(
--- a/crates/sesamecart-fleet/src/endpoint.rs
+++ b/crates/sesamecart-fleet/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! One endpoint, as its own entry in the registry describes it.
+//! An endpoint as described by its entry in the registry.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,81 +10,81 @@
 use crate::directory::GroupKey;
 use crate::number::{GroupEpoch, Incarnation};
 
-/// Whether an endpoint takes new work.
+/// Whether an endpoint accepts new work.
 #[derive(Clone, Copy, Debug, derive_more::Display, Eq, PartialEq)]
 pub enum EndpointState {
-    /// It takes work.
+    /// The endpoint accepts work.
     #[display("ready")]
     Ready,
-    /// It leaves soon and takes no new work.
+    /// The endpoint is about to leave and accepts no new work.
     #[display("draining")]
     Draining,
 }
 
-/// How far a member of a group is.
+/// The state of a group member.
 #[derive(Clone, Copy, Debug, derive_more::Display, Eq, PartialEq)]
 pub enum GroupState {
-    /// It loads or starts the model.
+    /// The member is loading or starting the model.
     #[display("joining")]
     Joining,
-    /// It can serve once the head is opened.
+    /// The member can serve as soon as the head is opened.
     #[display("ready")]
     Ready,
-    /// The head takes requests.
+    /// The head accepts requests.
     #[display("open")]
     Open,
-    /// The head takes no new requests and ends those it has.
+    /// The head accepts no new requests and finishes those in progress.
     #[display("closing")]
     Closing,
-    /// It lost a member and has given up.
+    /// The group has lost a member and stopped working.
     #[display("broken")]
     Broken,
 }
 
-/// An endpoint's place in a group.
+/// An endpoint's role in a group.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct GroupRole {
-    /// The group.
+    /// The group's ID.
     pub group: GroupId,
-    /// Orders the memberships.
+    /// The epoch of the membership.
     pub epoch: GroupEpoch,
-    /// The place in the list of members; 0 is the head.
+    /// The index in the list of members; 0 is the head.
     pub rank: usize,
-    /// How far it is.
+    /// The state of this member.
     pub state: GroupState,
 }
 
 /// One endpoint.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Endpoint {
-    /// Its name, by which requests expect it.
+    /// Its ID, which requests name as their intended receiver.
     pub id: EndpointId,
-    /// Where it takes requests.
+    /// The address at which it accepts requests.
     pub address: SocketAddr,
     /// The service that it belongs to.
     pub service: ServiceId,
-    /// The failure domain that it lies in.
+    /// The failure domain of its VM.
     pub failure_domain: FailureDomainId,
-    /// The requests that it works on at once.
+    /// The number of requests that it processes concurrently.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Whether it accepts new work.
     pub state: EndpointState,
-    /// How much longer it bears only a little, at the time of the entry.
+    /// The remaining time for which it is cold and can only handle a low rate of requests, as of its entry.
     pub cold_for: Duration,
-    /// Which life of it this is, if it says so.
+    /// Its incarnation, if the entry has one.
     pub incarnation: Option<Incarnation>,
-    /// The fabric domain that it lies in, if it can join groups.
+    /// Its fabric domain, if it can join groups.
     pub fabric_domain: Option<FabricDomainId>,
     /// The models in its memory.
     pub models: Vec<ModelId>,
-    /// The models on its host, from which starting is fast.
+    /// The models whose weights are already on its host, so that they start fast.
     pub staged: Vec<ModelId>,
-    /// Its place in a group, if it has one.
+    /// Its role in a group, if it is a member of one.
     pub group: Option<GroupRole>,
 }
 
 impl Endpoint {
-    /// Returns the membership of a group that it is in.
+    /// Returns the group membership that it is in.
     #[must_use]
     pub fn group_key(&self) -> Option<GroupKey> {
         self.group.as_ref().map(|role| GroupKey {
--- a/crates/sesamecart-fleet/src/fair_share/tests.rs
+++ b/crates/sesamecart-fleet/src/fair_share/tests.rs
@@ -1,4 +1,4 @@
-//! Plays customers that share a service, and checks what the callers of each get.
+//! Simulates customers that share a service and checks how many requests of each are served.
 
 use std::time::Duration;
 
@@ -10,16 +10,16 @@
 
 const NODES: usize = 10;
 
-/// Callers of each customer a second while nothing is unusual.
-const USUAL_PER_S: f64 = 12.0;
+/// Usual request rate of each customer.
+const BASELINE_PER_S: f64 = 12.0;
 
 const CUSTOMERS: usize = 12;
 
-/// The part of the callers that has to be served in time.
-const PROMISED_PART: f64 = 0.95;
+/// The fraction of requests that must be served in time.
+const MIN_SERVED_FRACTION: f64 = 0.95;
 
-/// A service for 200 requests a second, before which customers ask 144.
-struct Play {
+/// A simulated service with a capacity of 200 requests per second; the usual rate of all customers is 144.
+struct Simulation {
     nodes: Vec<FairShare>,
     service: Slots,
     rng: fastrand::Rng,
@@ -27,24 +27,24 @@
     is_fair: bool,
 }
 
-/// The callers of one customer that got a place, of all.
+/// The numbers of placed and of all requests of one customer.
 #[derive(Clone, Copy, Debug, Default)]
 struct Served {
     placed: u32,
-    asked: u32,
+    sent: u32,
 }
 
 impl Served {
-    fn part(self) -> f64 {
-        f64::from(self.placed) / f64::from(self.asked.max(1))
+    fn fraction(self) -> f64 {
+        f64::from(self.placed) / f64::from(self.sent.max(1))
     }
 }
 
 fn customer(index: usize) -> CustomerId {
-    format!("c{index}").parse().expect("a name")
+    format!("c{index}").parse().expect("valid name")
 }
 
-impl Play {
+impl Simulation {
     fn new(is_fair: bool) -> Self {
         Self {
             nodes: vec![FairShare::default(); NODES],
@@ -55,22 +55,23 @@
         }
     }
 
-    /// Has each customer ask so many times what it usually does; returns what their callers got.
-    fn ask(
+    /// Has each customer send the given multiple of its usual rate for `time`. Returns what each was
+    /// served.
+    fn send(
         &mut self,
         time: Duration,
-        times_usual: impl Fn(usize) -> f64,
+        baseline_factor: impl Fn(usize) -> f64,
     ) -> IndexMap<usize, Served> {
         const STEP: Duration = Duration::from_millis(1);
         let mut served: IndexMap<usize, Served> = IndexMap::new();
         let until = self.now + time;
         while self.now < until {
             for index in 0..CUSTOMERS {
-                let expected = USUAL_PER_S * times_usual(index) * STEP.as_secs_f64();
+                let expected = BASELINE_PER_S * baseline_factor(index) * STEP.as_secs_f64();
                 if self.rng.f64() < expected {
-                    let placed = self.ask_once(index);
+                    let placed = self.send_one(index);
                     let served = served.entry(index).or_default();
-                    served.asked += 1;
+                    served.sent += 1;
                     served.placed += u32::from(placed);
                 }
             }
@@ -79,7 +80,7 @@
         served
     }
 
-    fn ask_once(&mut self, index: usize) -> bool {
+    fn send_one(&mut self, index: usize) -> bool {
         let node = self.rng.usize(..NODES);
         let load = self.service.load(self.now);
         let share = &mut self.nodes[node];
@@ -92,16 +93,16 @@
     }
 }
 
-fn least_part_of_others(served: &IndexMap<usize, Served>) -> f64 {
+fn min_fraction_of_others(served: &IndexMap<usize, Served>) -> f64 {
     let others = served.iter().filter(|(index, _)| **index != 0);
-    let parts = others.map(|(_, served)| served.part());
-    parts.fold(f64::INFINITY, f64::min)
+    let fractions = others.map(|(_, served)| served.fraction());
+    fractions.fold(f64::INFINITY, f64::min)
 }
 
-fn one_asks_ten_times(is_fair: bool) -> IndexMap<usize, Served> {
-    let mut play = Play::new(is_fair);
-    play.ask(Duration::from_secs(30), |_| 1.0);
-    play.ask(
+fn one_customer_at_ten_times_its_baseline(is_fair: bool) -> IndexMap<usize, Served> {
+    let mut simulation = Simulation::new(is_fair);
+    simulation.send(Duration::from_secs(30), |_| 1.0);
+    simulation.send(
         Duration::from_secs(20),
         |index| {
             if index == 0 { 10.0 } else { 1.0 }
@@ -109,84 +110,88 @@
     )
 }
 
-/// One customer at ten times its usual fills the service, and the callers of all others are turned away.
+/// Without fair sharing, a customer at ten times its usual rate fills the service, and the callers of all
+/// others are refused.
 #[test]
-fn one_customer_at_ten_times_its_usual_costs_the_others_nothing() {
-    let without = one_asks_ten_times(false);
+fn a_surge_of_one_customer_does_not_affect_the_others() {
+    let unfair = one_customer_at_ten_times_its_baseline(false);
     assert!(
-        least_part_of_others(&without) < PROMISED_PART,
-        "{without:?}"
+        min_fraction_of_others(&unfair) < MIN_SERVED_FRACTION,
+        "{unfair:?}"
     );
-    let with = one_asks_ten_times(true);
-    assert!(least_part_of_others(&with) >= PROMISED_PART, "{with:?}");
-    // It still gets more than what it usually gets.
-    assert!(with[&0].part() > 0.15, "{with:?}");
+    let fair = one_customer_at_ten_times_its_baseline(true);
+    assert!(
+        min_fraction_of_others(&fair) >= MIN_SERVED_FRACTION,
+        "{fair:?}"
+    );
+    // It still gets more than its usual rate.
+    assert!(fair[&0].fraction() > 0.15, "{fair:?}");
 }
 
-/// A customer that grows while there is room has to be served, or places stand empty.
+/// A customer that grows while there is free capacity must be served, or slots stay unused.
 #[test]
-fn a_customer_gets_what_nobody_else_needs() {
-    let mut play = Play::new(true);
-    play.ask(
+fn a_customer_may_use_free_capacity() {
+    let mut simulation = Simulation::new(true);
+    simulation.send(
         Duration::from_secs(30),
         |index| if index < 4 { 1.0 } else { 0.0 },
     );
-    let served = play.ask(Duration::from_secs(20), |index| match index {
+    let served = simulation.send(Duration::from_secs(20), |index| match index {
         0 => 5.0,
         1..4 => 1.0,
         _ => 0.0,
     });
-    assert!(served[&0].part() >= PROMISED_PART, "{served:?}");
+    assert!(served[&0].fraction() >= MIN_SERVED_FRACTION, "{served:?}");
 }
 
-/// A customer whose callers are all there are grows: no one else needs the places that it would be refused.
+/// The only active customer grows. Nobody else needs the capacity that it would be refused.
 #[test]
-fn the_only_customer_may_fill_the_service() {
-    let mut play = Play::new(true);
-    play.ask(
+fn the_only_active_customer_may_fill_the_service() {
+    let mut simulation = Simulation::new(true);
+    simulation.send(
         Duration::from_secs(30),
         |index| if index == 0 { 3.0 } else { 0.0 },
     );
-    let served = play.ask(
+    let served = simulation.send(
         Duration::from_secs(20),
         |index| if index == 0 { 15.0 } else { 0.0 },
     );
-    assert!(served[&0].part() >= PROMISED_PART, "{served:?}");
+    assert!(served[&0].fraction() >= MIN_SERVED_FRACTION, "{served:?}");
 }
 
-/// A large customer beside a small one grows: only what the small one usually takes is kept from it.
+/// A large customer grows beside a small one. Only the usual rate of the small one is kept free.
 #[test]
-fn a_large_customer_leaves_a_small_one_no_more_than_its_places() {
-    let mut play = Play::new(true);
-    let usual = |index| match index {
+fn a_large_customer_is_limited_only_by_the_baseline_of_a_small_one() {
+    let mut simulation = Simulation::new(true);
+    let baseline_factor = |index| match index {
         0 => 5.0,
         1 => 0.25,
         _ => 0.0,
     };
-    play.ask(Duration::from_secs(30), usual);
-    let served = play.ask(Duration::from_secs(20), |index| match index {
+    simulation.send(Duration::from_secs(30), baseline_factor);
+    let served = simulation.send(Duration::from_secs(20), |index| match index {
         0 => 14.0,
-        _ => usual(index),
+        _ => baseline_factor(index),
     });
-    assert!(served[&0].part() >= 0.9, "{served:?}");
-    assert!(served[&1].part() >= PROMISED_PART, "{served:?}");
+    assert!(served[&0].fraction() >= 0.9, "{served:?}");
+    assert!(served[&1].fraction() >= MIN_SERVED_FRACTION, "{served:?}");
 }
 
-/// A burst of all customers at once is nobody's fault: none may be singled out, nor places stand empty.
+/// If all customers burst at once, none of them may be singled out, and no slots may stay unused.
 #[test]
 fn a_burst_of_all_customers_fills_the_service() {
     let burst = |is_fair| {
-        let mut play = Play::new(is_fair);
-        play.ask(Duration::from_secs(30), |_| 1.0);
-        let served = play.ask(Duration::from_secs(20), |_| 3.0);
+        let mut simulation = Simulation::new(is_fair);
+        simulation.send(Duration::from_secs(30), |_| 1.0);
+        let served = simulation.send(Duration::from_secs(20), |_| 3.0);
         served.values().map(|served| served.placed).sum::<u32>()
     };
     assert!(f64::from(burst(true)) >= 0.98 * f64::from(burst(false)));
 }
 
-/// A node that has just started knows nothing of what is usual, and must not refuse by it.
+/// A node that has just started has no baselines and must not refuse anybody by them.
 #[test]
-fn nobody_is_limited_before_it_shows_what_is_usual() {
+fn no_customer_is_limited_before_baselines_are_known() {
     let mut share = FairShare::default();
     let start = Timestamp(1_000_000);
     for index in 0..200 {
@@ -196,14 +201,14 @@
     assert!(!share.is_over_share(start + Duration::from_secs(2), &customer(1), 1.0));
 }
 
-/// A customer that was last seen long ago isn't kept for ever: names come and go with configurations.
+/// Inactive customers must not be kept forever, because their names come and go with configurations.
 #[test]
-fn customers_that_ask_nothing_are_forgotten() {
+fn inactive_customers_are_removed() {
     let mut share = FairShare::default();
     let start = Timestamp(1_000_000);
     share.note_placed(start, &customer(0));
     share.tidy(start + Duration::from_secs(60));
-    assert_eq!(share.shares.len(), 1);
+    assert_eq!(share.customers.len(), 1);
     share.tidy(start + Duration::from_secs(600));
-    assert!(share.shares.is_empty());
+    assert!(share.customers.is_empty());
 }
--- a/crates/sesamecart-fleet/src/first_event.rs
+++ b/crates/sesamecart-fleet/src/first_event.rs
@@ -1,9 +1,8 @@
-//! How long the first event of a stream is waited for before another head is considered.
+//! Timeouts for the first event of a stream, after which another head is considered.
 //!
-//! It answers heads that are busy with prompts. A fixed limit that load exceeds has nodes give up what
-//! would have come, and the repeats read the same prompts once more elsewhere. So the limit follows the
-//! times that were seen, like a transport's retransmission timeout, and doubles when it ran out at a head
-//! that works.
+//! With a fixed timeout, nodes would give up on busy heads whose answers are still coming, and the retries
+//! would read the same prompts again on other heads. Therefore the timeout follows the observed times, like
+//! a transport's retransmission timeout, and doubles when it expires at a head that is working.
 
 use std::time::Duration;
 
@@ -13,19 +12,19 @@
 #[cfg(test)]
 mod tests;
 
-/// The shortest wait; an answer that is lost on its way is repeated after it.
+/// The minimum timeout, after which a lost answer is retried.
 const MIN_FIRST_EVENT_TIMEOUT: Duration = Duration::from_millis(1_200);
 
-/// Deviations from the mean that are waited beyond it.
-const DEVIATIONS: f64 = 4.0;
+/// The number of mean deviations that the timeout exceeds the mean by.
+const DEVIATION_FACTOR: f64 = 4.0;
 
-/// The part of a newly seen time that goes into the mean.
+/// The weight of a new time in the moving mean.
 const MEAN_GAIN: f64 = 1.0 / 8.0;
 
-/// The part of a newly seen deviation that goes into the mean deviation.
+/// The weight of a new deviation in the moving mean deviation.
 const DEVIATION_GAIN: f64 = 1.0 / 4.0;
 
-/// The most doublings of the wait.
+/// The maximum number of times that the timeout is doubled.
 const MAX_BACKOFF: u32 = 3;
 
 #[derive(Clone, Copy, Debug)]
@@ -35,43 +34,44 @@
     backoff: u32,
 }
 
-/// The first events that one node has seen, by model.
+/// The timeouts of one node, by model.
 #[derive(Clone, Debug, Default)]
 pub struct FirstEventTimeouts(IndexMap<ModelId, Estimate>);
 
 impl FirstEventTimeouts {
-    /// Notes how long a first event took from the request that was sent.
+    /// Records the time from sending a request to its first event.
     pub fn observe(&mut self, model: &ModelId, time: Duration) {
-        let seen_s = time.as_secs_f64();
+        let observed_s = time.as_secs_f64();
         let Some(estimate) = self.0.get_mut(model) else {
             let estimate = Estimate {
-                mean_s: seen_s,
-                deviation_s: seen_s / 2.0,
+                mean_s: observed_s,
+                deviation_s: observed_s / 2.0,
                 backoff: 0,
             };
             self.0.insert(model.clone(), estimate);
             return;
         };
-        let deviation_s = (seen_s - estimate.mean_s).abs();
+        let deviation_s = (observed_s - estimate.mean_s).abs();
         estimate.deviation_s += (deviation_s - estimate.deviation_s) * DEVIATION_GAIN;
-        estimate.mean_s += (seen_s - estimate.mean_s) * MEAN_GAIN;
+        estimate.mean_s += (observed_s - estimate.mean_s) * MEAN_GAIN;
         estimate.backoff = 0;
     }
 
-    /// Notes that a wait ran out at a head that works: it has more to do than the times seen so far show.
+    /// Records that the timeout expired at a head that is working, which means that its load is higher than
+    /// the observed times show.
     pub fn expire(&mut self, model: &ModelId) {
         if let Some(estimate) = self.0.get_mut(model) {
             estimate.backoff = (estimate.backoff + 1).min(MAX_BACKOFF);
         }
     }
 
-    /// Returns how long a first event is waited for.
+    /// Returns the timeout for the first event.
     #[must_use]
     pub fn timeout(&self, model: &ModelId) -> Duration {
         let Some(estimate) = self.0.get(model) else {
             return MIN_FIRST_EVENT_TIMEOUT;
         };
-        let expected_s = estimate.mean_s + DEVIATIONS * estimate.deviation_s;
+        let expected_s = estimate.mean_s + DEVIATION_FACTOR * estimate.deviation_s;
         let expected = Duration::try_from_secs_f64(expected_s).unwrap_or_default();
         expected.max(MIN_FIRST_EVENT_TIMEOUT) * (1 << estimate.backoff)
     }
--- a/crates/sesamecart-fleet/src/first_event/tests.rs
+++ b/crates/sesamecart-fleet/src/first_event/tests.rs
@@ -1,4 +1,4 @@
-//! Plays heads that answer slowly because they are busy.
+//! Tests the timeout for heads that answer slowly because they are busy.
 
 use std::time::Duration;
 
@@ -7,10 +7,10 @@
 use super::{FirstEventTimeouts, MIN_FIRST_EVENT_TIMEOUT};
 
 fn model() -> ModelId {
-    "m".parse().expect("a name")
+    "m".parse().expect("valid name")
 }
 
-fn after(times_ms: impl IntoIterator<Item = u64>) -> FirstEventTimeouts {
+fn timeouts_after(times_ms: impl IntoIterator<Item = u64>) -> FirstEventTimeouts {
     let mut timeouts = FirstEventTimeouts::default();
     for time_ms in times_ms {
         timeouts.observe(&model(), Duration::from_millis(time_ms));
@@ -19,23 +19,24 @@
 }
 
 #[test]
-fn heads_that_answer_soon_are_waited_for_the_least_time() {
-    let timeouts = after([150; 20]);
+fn fast_heads_get_the_minimum_timeout() {
+    let timeouts = timeouts_after([150; 20]);
     assert_eq!(timeouts.timeout(&model()), MIN_FIRST_EVENT_TIMEOUT);
 }
 
-/// Heads read prompts for longer and longer. Given up at a fixed limit, each prompt is read twice, and the
-/// repeats take the place of new requests.
+/// Heads take longer and longer to read prompts. With a fixed timeout, each prompt would be read twice, and
+/// the retries would take the slots of new requests.
 #[test]
-fn the_wait_follows_heads_that_get_busier() {
-    let timeouts = after((0..20).map(|index| 200 + 100 * index));
+fn the_timeout_follows_slower_heads() {
+    let timeouts = timeouts_after((0..20).map(|index| 200 + 100 * index));
     assert!(timeouts.timeout(&model()) > Duration::from_millis(2_100));
 }
 
-/// Waits that run out are never seen as times, so without doubling the limit would stay below what it takes.
+/// Expired timeouts aren't observed as times, so without doubling, the timeout would stay below the time
+/// that the heads take.
 #[test]
-fn a_wait_that_ran_out_doubles_the_next_one() {
-    let mut timeouts = after([900; 20]);
+fn an_expired_timeout_doubles_the_next_one() {
+    let mut timeouts = timeouts_after([900; 20]);
     let before = timeouts.timeout(&model());
     timeouts.expire(&model());
     assert_eq!(timeouts.timeout(&model()), before * 2);
--- a/crates/sesamecart-fleet/src/freshness.rs
+++ b/crates/sesamecart-fleet/src/freshness.rs
@@ -1,33 +1,34 @@
-//! Until when a node may act on what it knows.
+//! How long a node may use its configuration without a confirmation from the store.
 
 use std::time::Duration;
 
 use sesamecart_vocabulary::Timestamp;
 
-/// How old a node's configuration may be at most.
+/// The age of a node's configuration.
 ///
-/// A node that is cut off from the store goes on serving with keys that were taken away meanwhile; an
-/// operator notices that a dismissed caller is still served. The configuration is confirmed from
-/// the moment at which the last complete read of it was *sent*, since the store may have changed right
-/// after it answered. The clock must go on while the VM is suspended.
+/// A node that can't reach the store would keep accepting keys that were revoked meanwhile, so its age is
+/// limited. The configuration counts as confirmed at the time when the last complete read of it was *sent*,
+/// because the store may have changed right after it answered. The clock must keep running while the VM is
+/// suspended.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Freshness {
     confirmed_at: Option<Timestamp>,
 }
 
 impl Freshness {
-    /// Notes a complete read that was sent at `sent`.
+    /// Records a complete read that was sent at `sent`.
     pub fn confirm(&mut self, sent: Timestamp) {
         self.confirmed_at = self.confirmed_at.max(Some(sent));
     }
 
-    /// Returns the age of what is known, if anything is.
+    /// Returns the age of the configuration, if it was ever read.
     #[must_use]
     pub fn age(self, now: Timestamp) -> Option<Duration> {
         self.confirmed_at.map(|sent| now.since(sent))
     }
 
-    /// Returns whether requests with keys may be let in.
+    /// Returns whether the configuration is newer than `limit`, so that requests with API keys may be
+    /// admitted.
     #[must_use]
     pub fn is_confirmed_fresh(self, now: Timestamp, limit: Duration) -> bool {
         self.age(now).is_some_and(|age| age < limit)
--- a/crates/sesamecart-fleet/src/lib.rs
+++ b/crates/sesamecart-fleet/src/lib.rs
@@ -1,14 +1,14 @@
-//! What a node knows of the fleet, and the decisions that follow from it alone.
+//! A node's view of the fleet, and the decisions that are based on it alone.
 //!
-//! Nothing here reads a clock or a network: time comes in as an argument, so that each decision can
-//! be played and tested by itself. docs/design/platform-run.md says how the parts meet.
+//! Nothing here uses a clock or a network. The time is passed as an argument, so that each decision can be
+//! simulated and tested separately. docs/design/platform-run.md describes how the parts work together.
 
 mod allowance;
 mod catalog;
+mod decay;
 mod demand;
 mod directory;
 mod endpoint;
-mod fading;
 mod fair_share;
 mod first_event;
 mod freshness;
@@ -17,8 +17,8 @@
 mod planner;
 mod repair;
 mod retry_schedule;
-mod silence;
 mod sources;
+mod stall_detector;
 mod step_model;
 #[cfg(test)]
 mod testkit;
@@ -39,9 +39,9 @@
 pub use planner::{Formation, ModelSummary, Planner, PlannerInput, Step};
 pub use repair::{Finding, MemberProbe, Verdict, judge};
 pub use retry_schedule::RetrySchedule;
-pub use silence::{Silence, SilenceLimits};
 pub use sources::{
     MAX_WATCHED_PEERS, PeerNode, Role, Source, SourcePlan, SourceRotation, peers_to_watch,
     plan_sources, readers, standbys,
 };
+pub use stall_detector::{SilenceLimits, StallDetector};
 pub use step_model::{StepModel, TokenCounts};
--- a/crates/sesamecart-fleet/src/loads.rs
+++ b/crates/sesamecart-fleet/src/loads.rs
@@ -1,14 +1,13 @@
-//! Which endpoint takes a request: what this node knows of each one's load and failures.
+//! Endpoint selection by load and recent failures.
 //!
-//! It answers load that is uneven between endpoints, prompts that arrive together, and endpoints that
-//! fail or stand still. Nodes tell each other what they have at the heads of groups; the sum is what a
-//! head has, and of that what waits to be read decides most.
+//! A node combines its own requests with the loads that other nodes report at each group head. Requests
+//! that still wait for their first event weigh most, because prompts are read one after the other.
 //!
-//! Where most nodes can't be heard, and at endpoints outside of groups, what an endpoint said last,
-//! corrected by what this node sent and saw end since, is the best guess. A node that followed reports
-//! alone would send all that arrives between two reports to the same endpoint. A report says less the older
-//! it is: with many nodes each hears from an endpoint every few seconds only, so an old report fades into
-//! the mean of all.
+//! If fewer than half of the other nodes report their loads, and for endpoints outside of groups, the load
+//! is estimated from the endpoint's last report, corrected by the requests that this node sent and saw end
+//! since. A node that used the reports alone would send everything that arrives between two reports to the
+//! same endpoint. With many nodes, each receives a report from an endpoint only every few seconds, so an
+//! old report decays towards the mean load of all endpoints.
 
 use std::time::Duration;
 
@@ -16,115 +15,115 @@
 use sesamecart_vocabulary::{EndpointId, NodeId, Timestamp};
 
 use crate::loads::load::Load;
-use crate::silence::SilenceLimits;
+use crate::stall_detector::SilenceLimits;
 
 mod load;
 #[cfg(test)]
 mod tests;
 
-/// What an endpoint says of its load.
+/// The load that an endpoint reports.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct LoadReport {
-    /// Requests that it works on.
+    /// Requests in progress.
     pub running: u32,
-    /// Requests that wait there.
+    /// Requests in the endpoint's queue.
     pub waiting: u32,
-    /// Requests that it can work on at once.
+    /// The number of requests that it can process concurrently.
     pub slots: u32,
 }
 
-/// An endpoint that may take a request.
+/// An endpoint to choose from.
 #[derive(Clone, Debug)]
 pub struct Candidate<'a> {
-    /// The endpoint.
+    /// The endpoint's ID.
     pub id: &'a EndpointId,
-    /// The requests that it works on at once.
+    /// The number of requests that it processes concurrently.
     pub slots: u32,
-    /// Whether it lies in this node's failure domain.
+    /// Whether it is in this node's failure domain.
     pub is_local: bool,
 }
 
-/// Why no endpoint takes a request.
+/// The reason why no endpoint can take a request.
 #[derive(Clone, Copy, Debug, derive_more::Display, Eq, PartialEq)]
 pub enum Unavailable {
-    /// There is none, or all that there are failed lately.
+    /// There is no endpoint, or all of them are ejected.
     #[display("no endpoint is there")]
     NoEndpoint,
-    /// All have as much as they can do in time.
+    /// All endpoints are at the load that they can serve in time.
     #[display("all endpoints are full")]
     Full,
-    /// The customer has its share of what the endpoints can do, and the rest is for the others.
+    /// The customer has used its fair share of the endpoints; the remaining capacity is reserved for
+    /// others.
     #[display("the customer has its share of the endpoints")]
     OverShare,
-    /// No fabric domain has the engines for a group of the model.
+    /// No fabric domain has enough engines for a group of the model.
     #[display("no fabric domain has the engines that a group of the model needs")]
     Unservable,
 }
 
-/// The endpoint chosen.
+/// The selected endpoint.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Choice {
-    /// Its place among the candidates.
+    /// Its index in the list of candidates.
     pub index: usize,
-    /// Its guessed load, in requests for each slot.
+    /// Its estimated load, in requests per slot.
     pub load: f64,
 }
 
-/// Requests that may wait at an endpoint beyond its slots.
+/// The number of requests that may wait at an endpoint beyond its slots.
 ///
-/// A group's slots become free one after the other all the time, so the first few that wait start well
-/// within the time that callers are promised for a first event.
+/// A group frees its slots continuously, one after the other, so the first few waiting requests still start
+/// within the promised time to the first event.
 const MAX_WAITING: f64 = 3.0;
 
-/// How much a crossing of failure domains counts, in requests for each slot; it pays for the bytes
-/// between them only while loads are about equal.
-const CROSSING: f64 = 0.08;
+/// The penalty for leaving the failure domain, in requests per slot. The cost of the traffic between
+/// failure domains outweighs only small differences in load.
+const CROSS_DOMAIN_PENALTY: f64 = 0.08;
 
-/// How far equal loads are spread, in requests for each slot; nodes with the same reports would all
-/// choose the same endpoint otherwise.
-const SPREAD: f64 = 0.06;
+/// The largest random addition to a score, in requests per slot. Without it, all nodes with the same
+/// reports would choose the same endpoint.
+const MAX_JITTER: f64 = 0.06;
 
-/// The first rest of an endpoint that failed; each further failure doubles it.
+/// The duration of an endpoint's first ejection; each further failure doubles it.
 const BASE_EJECTION_TIME: Duration = Duration::from_millis(250);
 
-/// The longest rest of an endpoint that fails again and again.
+/// The longest ejection of an endpoint that keeps failing.
 const MAX_EJECTION_TIME: Duration = Duration::from_secs(4);
 
-/// Failures in a row after which an endpoint rests: one lost answer says little.
+/// The number of consecutive failures that ejects an endpoint. A single lost answer is not evidence enough.
 const FAILURES_BEFORE_EJECTION: u32 = 2;
 
-/// How much a request that waits for its first event counts beside one that is being answered, in
-/// requests for each slot.
+/// The additional weight of a request that waits for its first event, in requests per slot.
 ///
-/// An engine reads prompts one after the other, between the steps of the answers that it writes: a
-/// prompt that waits costs the next one a whole pass, an answer that is written costs it next to nothing.
+/// An engine reads prompts one after the other, between the decoding steps of running answers. Each waiting
+/// prompt delays the next one by a whole pass, whereas a running answer hardly delays it.
 const WAITING_WEIGHT: f64 = 0.25;
 
-/// What one node has at an endpoint.
+/// The load that one node has on an endpoint.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct NodeLoad {
-    /// Its requests there.
+    /// The node's requests in flight at the endpoint.
     pub in_flight: u32,
-    /// Those of them that wait for their first event.
+    /// Those of them that still wait for their first event.
     pub waiting: u32,
 }
 
-/// What a node knows of the load of all endpoints.
+/// The loads of all endpoints as known to this node.
 #[derive(Debug, Default)]
 pub struct LoadBook {
     loads: IndexMap<EndpointId, Load>,
-    /// The nodes that tell what they have at endpoints.
-    reporting: IndexSet<NodeId>,
-    /// How many other nodes there are.
-    others: usize,
+    /// The nodes that report their loads to this node.
+    reporting_nodes: IndexSet<NodeId>,
+    /// The number of other live nodes.
+    other_nodes: usize,
 }
 
 impl LoadBook {
-    /// Chooses an endpoint; `rng` gives numbers from 0 to 1.
+    /// Chooses an endpoint. `rng` returns random numbers between 0 and 1.
     ///
     /// # Errors
     ///
-    /// Says why none can take the request in time.
+    /// Returns the reason if no endpoint can serve the request in time.
     pub fn choose(
         &self,
         now: Timestamp,
@@ -132,9 +131,9 @@
         mut rng: impl FnMut() -> f64,
     ) -> Result<Choice, Unavailable> {
         let mut best: Option<(f64, Choice)> = None;
-        let mut refused = Unavailable::NoEndpoint;
+        let mut unavailable = Unavailable::NoEndpoint;
         let mean_load = self.mean_load(now, candidates);
-        if self.are_full_together(now, candidates) {
+        if self.are_full_in_total(now, candidates) {
             return Err(Unavailable::Full);
         }
         for (index, candidate) in candidates.iter().enumerate() {
@@ -149,133 +148,140 @@
                 None => (mean_load, 0.0),
             };
             if requests >= slots + MAX_WAITING {
-                refused = Unavailable::Full;
+                unavailable = Unavailable::Full;
                 continue;
             }
-            let crossing = if candidate.is_local { 0.0 } else { CROSSING };
+            let penalty = if candidate.is_local {
+                0.0
+            } else {
+                CROSS_DOMAIN_PENALTY
+            };
             let score = (requests + WAITING_WEIGHT * waiting * slots) / slots;
-            let score = score + crossing + rng() * SPREAD;
-            if best.as_ref().is_none_or(|(least, _)| score < *least) {
+            let score = score + penalty + rng() * MAX_JITTER;
+            if best.as_ref().is_none_or(|(lowest, _)| score < *lowest) {
                 let load = requests / slots;
                 best = Some((score, Choice { index, load }));
             }
         }
-        best.map(|(_, choice)| choice).ok_or(refused)
+        best.map(|(_, choice)| choice).ok_or(unavailable)
     }
 
-    /// Returns whether the candidates together have as much as they can do in time, where a node can't know
-    /// each one's load.
+    /// Returns whether the candidates are full in total, for nodes that don't know the load of each one.
     ///
-    /// A burst reaches all of them between two reports. Of several guesses that are too old, the least is
-    /// the most wrong: nodes that send to whichever head seems to have room fill all of them far beyond
-    /// what they can do, and every caller is served late. Heads that have said nothing lately, or are
-    /// ejected, may be dark; counted as room, each would add its share to what the others get.
-    fn are_full_together(&self, now: Timestamp, candidates: &[Candidate<'_>]) -> bool {
-        if self.hears_most() || self.reporting.is_empty() {
+    /// A burst can reach all endpoints between two reports. If each node sent to the endpoint with the
+    /// lowest outdated estimate, which is also the least accurate one, the nodes would overload all heads
+    /// and every request would be served late. Heads without a recent report and ejected heads may be
+    /// unreachable, so they don't count as capacity; their share of the load would go to the remaining
+    /// heads.
+    fn are_full_in_total(&self, now: Timestamp, candidates: &[Candidate<'_>]) -> bool {
+        if self.has_most_peer_loads() || self.reporting_nodes.is_empty() {
             return false;
         }
-        let scale = (self.others + 1) as f64 / (self.reporting.len() + 1) as f64;
+        let scale = (self.other_nodes + 1) as f64 / (self.reporting_nodes.len() + 1) as f64;
         let mut requests = 0.0;
-        let mut room = 0.0;
+        let mut capacity = 0.0;
         for candidate in candidates {
             let load = self.loads.get(candidate.id);
-            let Some(there) = load.and_then(|load| load.estimate_of_all(now, scale)) else {
+            let Some(estimate) = load.and_then(|load| load.estimate_for_all_nodes(now, scale))
+            else {
                 continue;
             };
-            requests += there;
-            // None may wait beyond the slots: heads differ by more than that where their loads are guessed.
-            room += f64::from(candidate.slots.max(1));
+            requests += estimate;
+            // No queue beyond the slots is allowed here: the error of the estimates is larger than that.
+            capacity += f64::from(candidate.slots.max(1));
         }
-        room > 0.0 && requests >= room
+        capacity > 0.0 && requests >= capacity
     }
 
-    /// Returns whether most other nodes say what they have at the heads of groups.
-    fn hears_most(&self) -> bool {
-        !self.reporting.is_empty() && self.reporting.len() * 2 >= self.others
+    /// Returns whether at least half of the other nodes report their loads at the group heads.
+    fn has_most_peer_loads(&self) -> bool {
+        !self.reporting_nodes.is_empty() && self.reporting_nodes.len() * 2 >= self.other_nodes
     }
 
-    /// Guesses the requests at an endpoint, and those that wait there for their first event.
+    /// Estimates the requests at an endpoint, and how many of them wait for their first event.
     ///
-    /// Where most other nodes say what they have there, that is counted; else the endpoint's report.
+    /// Uses the loads that other nodes report if at least half of them do so, and the endpoint's own report
+    /// otherwise.
     fn estimated_load(&self, now: Timestamp, load: &Load, mean_load: f64) -> (f64, f64) {
-        let others = load.others();
-        let own_waiting = f64::from(load.silence.waiting());
-        if !self.hears_most() {
-            let waiting = own_waiting + f64::from(others.waiting);
+        let peers = load.peer_total();
+        let own_waiting = f64::from(load.stall_detector.waiting());
+        if !self.has_most_peer_loads() {
+            let waiting = own_waiting + f64::from(peers.waiting);
             return (load.estimate(now, mean_load), waiting);
         }
-        let untold = self.others.max(self.reporting.len()) as f64 / self.reporting.len() as f64;
-        let requests = f64::from(load.in_flight) + f64::from(others.in_flight) * untold;
-        let waiting = own_waiting + f64::from(others.waiting) * untold;
+        let extrapolation = self.other_nodes.max(self.reporting_nodes.len()) as f64
+            / self.reporting_nodes.len() as f64;
+        let requests = f64::from(load.in_flight) + f64::from(peers.in_flight) * extrapolation;
+        let waiting = own_waiting + f64::from(peers.waiting) * extrapolation;
         (requests, waiting)
     }
 
-    /// Notes how many other nodes there are, without those that are taken for gone.
+    /// Sets the number of other nodes, not counting those that are considered gone.
     pub fn set_others(&mut self, others: usize) {
-        self.others = others;
+        self.other_nodes = others;
     }
 
-    /// Returns how many other nodes there are, without those that are taken for gone.
+    /// Returns the number of other nodes, not counting those that are considered gone.
     #[must_use]
     pub const fn others(&self) -> usize {
-        self.others
+        self.other_nodes
     }
 
-    /// Notes what another node has at an endpoint.
-    pub fn apply_peer_load(&mut self, node: &NodeId, id: &EndpointId, there: NodeLoad) {
-        self.reporting.insert(node.clone());
+    /// Records the load that another node has on an endpoint.
+    pub fn apply_peer_load(&mut self, node: &NodeId, id: &EndpointId, node_load: NodeLoad) {
+        self.reporting_nodes.insert(node.clone());
         let load = self.load(id);
-        if there == NodeLoad::default() {
-            load.others.swap_remove(node);
+        if node_load == NodeLoad::default() {
+            load.peer_loads.swap_remove(node);
         } else {
-            load.others.insert(node.clone(), there);
+            load.peer_loads.insert(node.clone(), node_load);
         }
     }
 
-    /// Notes that a node tells what it has, if only nothing.
+    /// Records that a node reports its loads, even if it has no requests.
     pub fn mark_reporting(&mut self, node: &NodeId) {
-        self.reporting.insert(node.clone());
+        self.reporting_nodes.insert(node.clone());
     }
 
-    /// Returns whether a node tells what it has.
+    /// Returns whether a node reports its loads.
     #[must_use]
     pub fn is_reporting(&self, node: &NodeId) -> bool {
-        self.reporting.contains(node)
+        self.reporting_nodes.contains(node)
     }
 
-    /// Forgets what a node said that can't be heard any more.
+    /// Removes the loads reported by a node that is no longer reachable.
     pub fn drop_peer(&mut self, node: &NodeId) {
-        self.reporting.swap_remove(node);
+        self.reporting_nodes.swap_remove(node);
         for load in self.loads.values_mut() {
-            load.others.swap_remove(node);
+            load.peer_loads.swap_remove(node);
         }
     }
 
-    /// Returns the requests that other nodes said they have, at all endpoints together.
+    /// Returns the total of requests in flight that other nodes report, over all endpoints.
     #[must_use]
     pub fn peer_in_flight(&self) -> u32 {
         self.loads
             .values()
-            .map(|load| load.others().in_flight)
+            .map(|load| load.peer_total().in_flight)
             .sum()
     }
 
-    /// Returns what this node has at each endpoint where it has anything.
+    /// Returns this node's load on each endpoint where it has requests in flight.
     pub fn own(&self) -> impl Iterator<Item = (&EndpointId, NodeLoad)> {
         let busy = self.loads.iter().filter(|(_, load)| load.in_flight > 0);
         busy.map(|(id, load)| {
-            let there = NodeLoad {
+            let node_load = NodeLoad {
                 in_flight: load.in_flight,
-                waiting: load.silence.waiting(),
+                waiting: load.stall_detector.waiting(),
             };
-            (id, there)
+            (id, node_load)
         })
     }
 
-    /// Returns the mean of what is known of the candidates' loads, in requests for each slot.
+    /// Returns the mean of the candidates' known loads, in requests per slot.
     ///
-    /// One that was never heard of counts with what this node has there: a group that has just opened
-    /// would otherwise look empty to all nodes at once and be filled by all of them.
+    /// An endpoint that has never reported counts with this node's own requests there. Otherwise a group
+    /// that has just opened would look empty to all nodes at once and be overloaded by them.
     fn mean_load(&self, now: Timestamp, candidates: &[Candidate<'_>]) -> f64 {
         let known = candidates.iter().map(|candidate| {
             let load = self.loads.get(candidate.id);
@@ -285,22 +291,24 @@
         known.sum::<f64>() / candidates.len().max(1) as f64
     }
 
-    /// Notes a request that is sent.
+    /// Records that a request was sent.
     pub fn sent(&mut self, now: Timestamp, id: &EndpointId) {
         let load = self.load(id);
         load.in_flight += 1;
-        load.since += 1;
-        load.silence.sent(now);
+        load.net_sent += 1;
+        load.stall_detector.record_sent(now);
     }
 
-    /// Notes what an endpoint said of its load; it includes what this node has there.
+    /// Records a load report that this node received from an endpoint. It includes this node's own
+    /// requests.
     pub fn reported(&mut self, now: Timestamp, id: &EndpointId, report: LoadReport) {
         let load = self.load(id);
         load.apply_report(report, now);
         load.own_report = load.reported;
     }
 
-    /// Notes what an endpoint said of its load to another node, which is newer than what it said here.
+    /// Records a load report that another node received from an endpoint, if it is newer than the known
+    /// one.
     pub fn apply_peer_report(&mut self, id: &EndpointId, report: LoadReport, at: Timestamp) {
         let load = self.load(id);
         if load.reported.is_none_or(|(_, known_at)| known_at < at) {
@@ -308,73 +316,77 @@
         }
     }
 
-    /// Returns what endpoints said of their load to this node, and when.
+    /// Returns the load reports that this node received itself, with the time of each.
     pub fn own_reports(&self) -> impl Iterator<Item = (&EndpointId, LoadReport, Timestamp)> {
         let loads = self.loads.iter();
         loads.filter_map(|(id, load)| load.own_report.map(|(report, at)| (id, report, at)))
     }
 
-    /// Notes the first sign of a request's answer.
+    /// Records the first event of a request's answer.
     pub fn begun(&mut self, now: Timestamp, id: &EndpointId) {
-        self.load(id).silence.begun(now);
+        self.load(id).stall_detector.record_first_event(now);
     }
 
-    /// Returns whether an endpoint has shown any sign of life since a time.
+    /// Returns whether any event arrived from an endpoint since a time.
     #[must_use]
     pub fn is_heard_since(&self, at: Timestamp, id: &EndpointId) -> bool {
         let load = self.loads.get(id);
-        load.is_some_and(|load| load.silence.heard_at() > at)
+        load.is_some_and(|load| load.stall_detector.last_event_at() > at)
     }
 
-    /// Notes any sign of life.
+    /// Records that an event arrived from an endpoint.
     pub fn heard(&mut self, now: Timestamp, id: &EndpointId) {
-        self.load(id).silence.heard(now);
+        self.load(id).stall_detector.record_event(now);
     }
 
-    /// Notes the end of a request.
+    /// Records the end of a request; `begun` is whether its first event had arrived.
     pub fn ended(&mut self, id: &EndpointId, begun: bool) {
         let load = self.load(id);
         load.in_flight = load.in_flight.saturating_sub(1);
-        load.since -= 1;
-        load.silence.ended(begun);
+        load.net_sent -= 1;
+        load.stall_detector.record_end(begun);
     }
 
-    /// Notes a sound answer.
+    /// Records a successful answer, which ends an ejection.
     pub fn succeeded(&mut self, id: &EndpointId) {
         let load = self.load(id);
         load.failures = 0;
         load.ejected_until = Timestamp::ZERO;
     }
 
-    /// Notes a failure; returns how long the endpoint rests, if it does.
+    /// Records a failure. Returns the ejection time if the endpoint is ejected.
     pub fn failed(&mut self, now: Timestamp, id: &EndpointId) -> Option<Duration> {
         let load = self.load(id);
         load.failures += 1;
-        let over = load.failures.checked_sub(FAILURES_BEFORE_EJECTION)?;
+        let excess_failures = load.failures.checked_sub(FAILURES_BEFORE_EJECTION)?;
         let time = BASE_EJECTION_TIME
-            .saturating_mul(1 << over.min(10))
+            .saturating_mul(1 << excess_failures.min(10))
             .min(MAX_EJECTION_TIME);
         load.ejected_until = now + time;
         Some(time)
     }
 
-    /// Takes an endpoint out for a time: it is known to stand still or to be another one.
+    /// Ejects an endpoint for `time`, because it is known to be stalled or to be a different endpoint.
     pub fn eject(&mut self, now: Timestamp, id: &EndpointId, time: Duration) {
         self.load(id).ejected_until = now + time;
     }
 
-    /// Returns the endpoints whose silence calls for asking their group's members.
+    /// Returns the endpoints whose group members are due to be probed because no events arrive.
     pub fn silent(&mut self, now: Timestamp, limits: SilenceLimits) -> Vec<EndpointId> {
-        let silent = self.loads.iter_mut();
-        silent
-            .filter_map(|(id, load)| load.silence.ask(now, limits).then(|| id.clone()))
+        let loads = self.loads.iter_mut();
+        loads
+            .filter_map(|(id, load)| {
+                load.stall_detector
+                    .start_due_probe(now, limits)
+                    .then(|| id.clone())
+            })
             .collect()
     }
 
-    /// Forgets endpoints that are gone and have nothing of this node's any more.
+    /// Removes unknown endpoints without requests of this node or reported loads of other nodes.
     pub fn forget(&mut self, is_known: impl Fn(&EndpointId) -> bool) {
         self.loads
-            .retain(|id, load| load.in_flight > 0 || !load.others.is_empty() || is_known(id));
+            .retain(|id, load| load.in_flight > 0 || !load.peer_loads.is_empty() || is_known(id));
     }
 
     fn load(&mut self, id: &EndpointId) -> &mut Load {
--- a/crates/sesamecart-fleet/src/loads/tests.rs
+++ b/crates/sesamecart-fleet/src/loads/tests.rs
@@ -1,11 +1,11 @@
-//! Where requests go, by what a node knows of loads and failures.
+//! Tests endpoint selection by known loads and failures.
 
 use std::time::Duration;
 
 use sesamecart_vocabulary::{EndpointId, NodeId, Timestamp};
 
 use super::{Candidate, LoadBook, LoadReport, NodeLoad, Unavailable};
-use crate::silence::SilenceLimits;
+use crate::stall_detector::SilenceLimits;
 use crate::testkit::id;
 
 const NOW: Timestamp = Timestamp(10_000_000);
@@ -26,23 +26,25 @@
     }
 }
 
-/// Nodes don't see each other's requests. One that went by its own alone would send to an endpoint
-/// that the others have filled.
+/// Nodes don't see each other's requests. A node that counted only its own would send to an endpoint that
+/// other nodes have filled.
 #[test]
-fn what_an_endpoint_reports_counts_besides_own_requests() {
+fn reported_load_counts_in_addition_to_own_requests() {
     let (full, free) = (id("full"), id("free"));
     let mut loads = LoadBook::default();
     loads.reported(NOW, &full, report(4, 0));
     loads.reported(NOW, &free, report(1, 0));
     let candidates = [candidate(&full, true), candidate(&free, false)];
-    let choice = loads.choose(NOW, &candidates, || 0.5).expect("one is free");
+    let choice = loads
+        .choose(NOW, &candidates, || 0.5)
+        .expect("an endpoint has capacity");
     assert_eq!(choice.index, 1);
 }
 
-/// Reports come with answers only. All that arrives between two of them would go to the endpoint that
-/// looked free at the last one.
+/// Reports arrive only with answers. Everything that is sent between two reports would go to the endpoint
+/// that was least loaded at the last one.
 #[test]
-fn requests_sent_since_a_report_count() {
+fn requests_sent_since_the_last_report_count() {
     let (first, second) = (id("first"), id("second"));
     let mut loads = LoadBook::default();
     loads.reported(NOW, &first, report(0, 0));
@@ -52,18 +54,18 @@
     for _ in 0..5 {
         let choice = loads
             .choose(NOW, &candidates, || 0.5)
-            .expect("there is room");
+            .expect("an endpoint has capacity");
         sent[choice.index] += 1;
         loads.sent(NOW, candidates[choice.index].id);
     }
     assert_eq!(sent, [3, 2]);
 }
 
-/// With many nodes each hears of an endpoint only with its own answers from there. One that reported
-/// itself full would never be sent to again, since nothing would come from it that says otherwise:
-/// its slots stay empty while callers wait at the others.
+/// A node gets reports only with its own answers from an endpoint. If a full report never decayed, the node
+/// would never send to that endpoint again and so never get a newer report. The slots would stay empty
+/// while callers wait at other endpoints.
 #[test]
-fn an_endpoint_that_was_full_a_while_ago_is_tried_again() {
+fn a_full_report_decays_until_the_endpoint_is_tried_again() {
     let only = id("only");
     let mut loads = LoadBook::default();
     loads.reported(NOW, &only, report(4, 3));
@@ -75,25 +77,25 @@
     assert!(choice.is_ok(), "{choice:?}");
 }
 
-/// A group that has just opened has told nobody of its load. Were it taken for empty, all nodes would
-/// send it all that comes in the same moment, and the callers would wait there in a queue.
+/// A group that has just opened has not reported any load yet. If it counted as empty, all nodes would send
+/// their requests to it at the same moment, and the callers would wait in its queue.
 #[test]
-fn an_endpoint_that_has_reported_nothing_counts_as_the_mean() {
+fn an_endpoint_without_report_counts_with_the_mean_load() {
     let (known, new) = (id("known"), id("new"));
     let mut loads = LoadBook::default();
     loads.reported(NOW, &known, report(2, 0));
     let candidates = [candidate(&known, true), candidate(&new, true)];
     let choice = loads
         .choose(NOW, &candidates, || 0.5)
-        .expect("both are free");
+        .expect("both endpoints have capacity");
     assert_eq!(choice.index, 1);
     assert!((choice.load - 0.25).abs() < 1e-9, "{}", choice.load);
 }
 
-/// When everything is full a caller is told so at once; a request that only waited in a queue until
-/// its caller had given up would have been of use to nobody.
+/// If all endpoints are full, the caller is refused at once. A queued request whose caller gives up before
+/// it starts would be wasted work.
 #[test]
-fn full_endpoints_refuse_at_once() {
+fn requests_are_refused_at_once_when_all_endpoints_are_full() {
     let only = id("only");
     let mut loads = LoadBook::default();
     loads.reported(NOW, &only, report(4, 3));
@@ -102,42 +104,48 @@
     assert_eq!(loads.choose(NOW, &[], || 0.5), Err(Unavailable::NoEndpoint));
 }
 
-/// An endpoint that fails what it gets answers fastest of all, so it would get ever more. It rests
-/// after two failures in a row, longer each time, and one success ends that.
+/// An endpoint that fails its requests answers fastest, so it would attract ever more of them. It is
+/// ejected after two consecutive failures, longer each time, and one success ends the ejection.
 #[test]
-fn an_endpoint_that_fails_rests_for_a_while() {
+fn an_endpoint_is_ejected_after_consecutive_failures() {
     let only = id("only");
     let mut loads = LoadBook::default();
     assert_eq!(loads.failed(NOW, &only), None);
-    let rest = loads.failed(NOW, &only).expect("it rests");
+    let ejection_time = loads.failed(NOW, &only).expect("ejected");
     let candidates = [candidate(&only, true)];
     assert!(loads.choose(NOW, &candidates, || 0.5).is_err());
-    assert!(loads.choose(NOW + rest, &candidates, || 0.5).is_ok());
-    assert!(loads.failed(NOW, &only).expect("it rests") > rest);
+    assert!(
+        loads
+            .choose(NOW + ejection_time, &candidates, || 0.5)
+            .is_ok()
+    );
+    assert!(loads.failed(NOW, &only).expect("ejected") > ejection_time);
     loads.succeeded(&only);
     assert!(loads.choose(NOW, &candidates, || 0.5).is_ok());
 }
 
-/// Bytes between failure domains cost, so equal loads stay local; a full local endpoint doesn't hold
-/// its callers back.
+/// Traffic between failure domains is expensive, so requests stay local at equal loads. A full local
+/// endpoint must not hold its callers back.
 #[test]
-fn equal_loads_stay_in_the_failure_domain() {
+fn requests_stay_in_the_failure_domain_at_equal_loads() {
     let (local, remote) = (id("local"), id("remote"));
     let mut loads = LoadBook::default();
     let candidates = [candidate(&remote, false), candidate(&local, true)];
     let choice = loads
         .choose(NOW, &candidates, || 0.5)
-        .expect("both are free");
+        .expect("both endpoints have capacity");
     assert_eq!(choice.index, 1);
     loads.reported(NOW, &local, report(3, 0));
-    let choice = loads.choose(NOW, &candidates, || 0.5).expect("one is free");
+    let choice = loads
+        .choose(NOW, &candidates, || 0.5)
+        .expect("an endpoint has capacity");
     assert_eq!(choice.index, 0);
 }
 
-/// A group that lost a member goes on taking requests while nothing moves. Callers see their streams
-/// stop; the registry shows it only after three heartbeats.
+/// A group that lost a member still accepts requests but makes no progress, so callers see their streams
+/// stall. The registry shows the loss only after three heartbeats.
 #[test]
-fn a_head_whose_streams_fall_silent_is_asked_about() {
+fn a_head_with_stalled_streams_is_probed() {
     let head = id("head");
     let mut loads = LoadBook::default();
     let limits = SilenceLimits::default();
@@ -147,143 +155,149 @@
     assert!(loads.silent(moving, limits).is_empty());
     loads.heard(moving, &head);
     assert!(
-        loads.silent(moving + limits.flowing, limits).is_empty(),
-        "one stream says little"
+        loads.silent(moving + limits.streaming, limits).is_empty(),
+        "a single stream gets twice the limit"
     );
-    let silent = moving + limits.flowing * 2;
-    assert_eq!(loads.silent(silent, limits), std::slice::from_ref(&head));
+    let stalled = moving + limits.streaming * 2;
+    assert_eq!(loads.silent(stalled, limits), std::slice::from_ref(&head));
     assert!(
-        loads.silent(silent, limits).is_empty(),
-        "it was just asked about"
+        loads.silent(stalled, limits).is_empty(),
+        "it was just probed"
     );
     loads.ended(&head, true);
-    let idle = silent + Duration::from_secs(5);
-    assert!(
-        loads.silent(idle, limits).is_empty(),
-        "nothing is expected of it"
-    );
+    let idle = stalled + Duration::from_secs(5);
+    assert!(loads.silent(idle, limits).is_empty(), "it has no requests");
 }
 
-/// A head that reads many long prompts is silent for a second and quite sound. Were its members asked
-/// four times a second by every node meanwhile, they would answer questions instead of callers.
+/// A healthy head that reads many long prompts sends no events for a second. If every node probed its
+/// members four times a second meanwhile, they would be busy answering probes instead of callers.
 #[test]
-fn a_head_that_was_found_sound_is_asked_about_less_and_less() {
+fn probes_of_a_head_without_events_back_off() {
     let head = id("head");
     let mut loads = LoadBook::default();
     let limits = SilenceLimits::default();
     loads.sent(NOW, &head);
     loads.begun(NOW, &head);
-    let asked_within = |loads: &mut LoadBook, from: Timestamp, ms: u64| {
-        let moments = (0..ms)
+    let count_probes = |loads: &mut LoadBook, from: Timestamp, ms: u64| {
+        let times = (0..ms)
             .step_by(10)
             .map(|ms| from + Duration::from_millis(ms));
-        moments
+        times
             .filter(|now| !loads.silent(*now, limits).is_empty())
             .count()
     };
-    assert_eq!(asked_within(&mut loads, NOW, 2_000), 3);
+    assert_eq!(count_probes(&mut loads, NOW, 2_000), 3);
     let moving = NOW + Duration::from_millis(2_000);
     loads.heard(moving, &head);
     assert_eq!(
-        asked_within(&mut loads, moving, 400),
+        count_probes(&mut loads, moving, 400),
         1,
-        "it is as if it had never been asked"
+        "an event resets the backoff"
     );
 }
 
-/// An engine reads prompts one after the other. A prompt sent to the head that writes least, where two
-/// others wait to be read, begins two passes later than one at a head that writes more and reads nothing.
+/// An engine reads prompts one after the other. A prompt sent to the head with the fewest requests, where
+/// two prompts wait, starts two passes later than at a head with more running answers and no waiting
+/// prompt.
 #[test]
-fn a_head_with_nothing_to_read_goes_before_one_that_writes_less() {
-    let (reads, writes) = (id("reads"), id("writes"));
+fn a_head_without_waiting_prompts_is_preferred_over_one_with_fewer_requests() {
+    let (reading, decoding) = (id("reading"), id("decoding"));
     let mut loads = LoadBook::default();
     for _ in 0..2 {
-        loads.sent(NOW, &reads);
+        loads.sent(NOW, &reading);
     }
     for _ in 0..3 {
-        loads.sent(NOW, &writes);
-        loads.begun(NOW, &writes);
+        loads.sent(NOW, &decoding);
+        loads.begun(NOW, &decoding);
     }
-    let candidates = [candidate(&reads, true), candidate(&writes, true)];
-    let choice = loads.choose(NOW, &candidates, || 0.5).expect("one is free");
+    let candidates = [candidate(&reading, true), candidate(&decoding, true)];
+    let choice = loads
+        .choose(NOW, &candidates, || 0.5)
+        .expect("an endpoint has capacity");
     assert_eq!(choice.index, 1);
 }
 
-/// Another node has just sent prompts to a head. Nobody hears of them from the head before it has read
-/// them; without the other node's own word the next prompt would join them.
+/// Another node has just sent prompts to a head. The head's reports don't show them before it has read
+/// them, so without the node's own report the next prompt would be sent there too.
 #[test]
-fn what_other_nodes_say_they_sent_counts_at_once() {
+fn loads_reported_by_other_nodes_count_at_once() {
     let (busy, free) = (id("busy"), id("free"));
-    let other = "other".parse().expect("a name");
+    let other = "other".parse().expect("valid name");
     let mut loads = LoadBook::default();
     loads.set_others(1);
-    let there = NodeLoad {
+    let node_load = NodeLoad {
         in_flight: 2,
         waiting: 2,
     };
-    loads.apply_peer_load(&other, &busy, there);
+    loads.apply_peer_load(&other, &busy, node_load);
     let candidates = [candidate(&busy, true), candidate(&free, false)];
-    let choice = loads.choose(NOW, &candidates, || 0.5).expect("one is free");
+    let choice = loads
+        .choose(NOW, &candidates, || 0.5)
+        .expect("an endpoint has capacity");
     assert_eq!(choice.index, 1);
 }
 
-/// A node dies with requests at a head. What it said must not keep callers away from there.
+/// A node fails while it has requests at a head. The load that it reported must not keep callers away from
+/// that head.
 #[test]
-fn what_a_node_said_that_is_gone_counts_no_more() {
-    let (once_busy, free) = (id("busy"), id("free"));
-    let other = "other".parse().expect("a name");
+fn loads_of_a_removed_node_no_longer_count() {
+    let (formerly_busy, free) = (id("busy"), id("free"));
+    let other = "other".parse().expect("valid name");
     let mut loads = LoadBook::default();
     loads.set_others(1);
-    let there = NodeLoad {
+    let node_load = NodeLoad {
         in_flight: 7,
         waiting: 7,
     };
-    loads.apply_peer_load(&other, &once_busy, there);
-    loads.apply_peer_load(&other, &free, there);
-    let candidates = [candidate(&once_busy, true), candidate(&free, true)];
+    loads.apply_peer_load(&other, &formerly_busy, node_load);
+    loads.apply_peer_load(&other, &free, node_load);
+    let candidates = [candidate(&formerly_busy, true), candidate(&free, true)];
     let refused = loads.choose(NOW, &candidates, || 0.5);
     assert_eq!(refused, Err(Unavailable::Full));
     loads.drop_peer(&other);
     assert!(loads.choose(NOW, &candidates, || 0.5).is_ok());
 }
 
-/// Two of seven other nodes tell what they have. That little is no picture of a head: the report that it
-/// gave a moment ago, with the requests of all, decides.
+/// One of seven other nodes reports its loads. That isn't enough to estimate a head's load, so the head's
+/// own recent report, which includes the requests of all nodes, decides.
 #[test]
-fn reports_decide_where_few_nodes_tell_their_loads() {
+fn endpoint_reports_decide_if_few_nodes_report_their_loads() {
     let (full, free) = (id("full"), id("free"));
-    let other = "other".parse().expect("a name");
+    let other = "other".parse().expect("valid name");
     let mut loads = LoadBook::default();
     loads.set_others(7);
     loads.mark_reporting(&other);
     loads.reported(NOW, &full, report(4, 0));
     loads.reported(NOW, &free, report(0, 0));
     let candidates = [candidate(&full, true), candidate(&free, true)];
-    let choice = loads.choose(NOW, &candidates, || 0.5).expect("one is free");
+    let choice = loads
+        .choose(NOW, &candidates, || 0.5)
+        .expect("an endpoint has capacity");
     assert_eq!(choice.index, 1);
 }
 
-/// Some nodes can't be heard. Taken for idle, they would have the others fill heads that are full.
+/// Some nodes can't be reached. If they counted as idle, the other nodes would overload heads that are
+/// already full.
 #[test]
-fn nodes_that_cannot_be_heard_count_like_those_that_can() {
+fn unreachable_nodes_count_with_the_mean_load_of_reachable_ones() {
     let head = id("head");
     let mut loads = LoadBook::default();
     loads.set_others(4);
     for name in ["n1", "n2"] {
-        let there = NodeLoad {
+        let node_load = NodeLoad {
             in_flight: 2,
             waiting: 0,
         };
-        loads.apply_peer_load(&name.parse().expect("a name"), &head, there);
+        loads.apply_peer_load(&name.parse().expect("valid name"), &head, node_load);
     }
     let choice = loads.choose(NOW, &[candidate(&head, true)], || 0.5);
     assert_eq!(choice, Err(Unavailable::Full));
 }
 
-/// Among many nodes each hears from a head every few seconds only, and those that go by such old reports send
-/// to heads that others have filled meanwhile.
+/// With many nodes, each receives a report from a head only every few seconds. A node that relied on its
+/// own old reports would send to heads that others have filled meanwhile.
 #[test]
-fn a_newer_report_to_a_peer_counts() {
+fn a_newer_report_from_a_peer_replaces_the_own_one() {
     let (first, second) = (id("first"), id("second"));
     let candidates = [candidate(&first, true), candidate(&second, true)];
     let mut loads = LoadBook::default();
@@ -293,12 +307,12 @@
     loads.apply_peer_report(&first, report(4, 0), later);
     loads.apply_peer_report(&second, report(4, 2), NOW - Duration::from_millis(1));
     let choice = loads.choose(later, &candidates, || 0.5);
-    assert_eq!(choice.expect("one is free").index, 1);
+    assert_eq!(choice.expect("an endpoint has capacity").index, 1);
 }
 
-/// A report that went round by other nodes would come back to the one that it came from, again and again.
+/// A report that nodes forwarded from each other would return to its origin again and again.
 #[test]
-fn only_a_nodes_own_reports_are_passed_on() {
+fn only_reports_received_directly_are_forwarded() {
     let (first, second) = (id("first"), id("second"));
     let mut loads = LoadBook::default();
     loads.reported(NOW, &first, report(1, 0));
@@ -307,24 +321,24 @@
     assert_eq!(own, [(&first, report(1, 0), NOW)]);
 }
 
-/// Sixty nodes send a burst to two heads between two reports. A node that goes by the reports alone lets all
-/// its callers in, as do the others, and each of them is served late.
+/// Sixty nodes send a burst to two heads between two reports. Nodes that relied on the reports alone would
+/// admit all of their callers, and each of them would be served late.
 #[test]
-fn a_burst_that_no_report_shows_yet_is_refused() {
+fn a_burst_between_reports_is_refused() {
     let (first, second) = (id("first"), id("second"));
     let candidates = [candidate(&first, true), candidate(&second, true)];
     let mut loads = LoadBook::default();
     loads.set_others(59);
-    let peer: NodeId = "n2".parse().expect("a name");
+    let peer: NodeId = "n2".parse().expect("valid name");
     loads.mark_reporting(&peer);
     loads.reported(NOW, &first, report(2, 0));
     loads.reported(NOW, &second, report(2, 0));
     assert!(loads.choose(NOW, &candidates, || 0.5).is_ok());
-    let there = NodeLoad {
+    let node_load = NodeLoad {
         in_flight: 1,
         waiting: 1,
     };
-    loads.apply_peer_load(&peer, &first, there);
+    loads.apply_peer_load(&peer, &first, node_load);
     let choice = loads.choose(NOW, &candidates, || 0.5);
     assert_eq!(choice, Err(Unavailable::Full));
     let later = NOW + Duration::from_millis(200);
@@ -332,32 +346,32 @@
     assert!(loads.choose(later, &candidates, || 0.5).is_ok());
 }
 
-/// A failure domain goes dark while its heads still stand in the registry. Counted as room, they have the
-/// nodes fill the heads that are left, and every caller there is served late.
+/// A failure domain becomes unreachable while its heads are still in the registry. If they counted as
+/// capacity, the nodes would overload the remaining heads, and every caller there would be served late.
 #[test]
-fn dark_heads_are_no_room() {
-    let (sound, dark) = (id("sound"), id("dark"));
-    let candidates = [candidate(&sound, true), candidate(&dark, true)];
+fn unreachable_heads_do_not_count_as_capacity() {
+    let (reachable, unreachable) = (id("reachable"), id("unreachable"));
+    let candidates = [candidate(&reachable, true), candidate(&unreachable, true)];
     let mut loads = LoadBook::default();
     loads.set_others(59);
-    loads.mark_reporting(&"n2".parse().expect("a name"));
-    loads.reported(NOW, &dark, report(4, 0));
+    loads.mark_reporting(&"n2".parse().expect("valid name"));
+    loads.reported(NOW, &unreachable, report(4, 0));
     let later = NOW + Duration::from_secs(2);
-    loads.reported(later, &sound, report(4, 3));
+    loads.reported(later, &reachable, report(4, 3));
     let choice = loads.choose(later, &candidates, || 0.5);
     assert_eq!(choice, Err(Unavailable::Full));
 }
 
-/// Reports fade into the mean of all heads where one is chosen. Faded in the sum as well, idle or dark heads
-/// would make full ones look as if they had room.
+/// For the choice of an endpoint, old reports decay towards the mean of all heads. If they decayed in the
+/// total too, idle or unreachable heads would make full ones look as if they had free capacity.
 #[test]
-fn the_sum_over_heads_takes_reports_as_they_are() {
-    let (sound, dark) = (id("sound"), id("dark"));
-    let candidates = [candidate(&sound, true), candidate(&dark, true)];
+fn reports_do_not_decay_in_the_total_over_heads() {
+    let (reachable, unreachable) = (id("reachable"), id("unreachable"));
+    let candidates = [candidate(&reachable, true), candidate(&unreachable, true)];
     let mut loads = LoadBook::default();
     loads.set_others(59);
-    loads.mark_reporting(&"n2".parse().expect("a name"));
-    loads.reported(NOW, &sound, report(4, 3));
+    loads.mark_reporting(&"n2".parse().expect("valid name"));
+    loads.reported(NOW, &reachable, report(4, 3));
     let later = NOW + Duration::from_millis(800);
     let choice = loads.choose(later, &candidates, || 0.5);
     assert_eq!(choice, Err(Unavailable::Full));
--- a/crates/sesamecart-fleet/src/number.rs
+++ b/crates/sesamecart-fleet/src/number.rs
@@ -1,4 +1,4 @@
-//! Counters that order what the fleet says.
+//! Counters that order versions and events of the fleet.
 
 use derive_more::{Display, From, FromStr, Into};
 use serde::{Deserialize, Serialize};
@@ -16,22 +16,22 @@
 }
 
 counter!(
-    /// The version of an operator's configuration; a higher one replaces a lower one.
+    /// The version of an operator's configuration. A higher version replaces a lower one.
     CatalogVersion
 );
 counter!(
-    /// The fencing token of a controller; an engine refuses orders with a lower one.
+    /// The fencing token of a controller. An engine rejects orders with a lower one.
     Fence
 );
 counter!(
-    /// Orders the memberships of one engine's life.
+    /// A number that orders the group memberships of one incarnation of an engine.
     GroupEpoch
 );
 counter!(
-    /// One life of an endpoint, told by the Unix millisecond at which it began.
+    /// One incarnation of an endpoint, identified by the Unix time in milliseconds at which it started.
     Incarnation
 );
 counter!(
-    /// How many orders an engine has begun in this life.
+    /// The number of orders that an engine has started to execute in this incarnation.
     OrderCount
 );
--- a/crates/sesamecart-fleet/src/repair.rs
+++ b/crates/sesamecart-fleet/src/repair.rs
@@ -1,4 +1,4 @@
-//! What the members of a group say, and whether the group must be given up.
+//! Decides from probes of a group's members whether the group must be given up.
 
 use derive_more::Display;
 
@@ -7,61 +7,66 @@
 #[cfg(test)]
 mod tests;
 
-/// What one member answered when it was asked.
+/// The result of probing one member.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
 pub enum MemberProbe {
-    /// It is in this membership.
+    /// The member belongs to this membership of the group.
     #[display("{_0}")]
     Member(GroupState),
-    /// It answers, and is in another membership or none.
+    /// The member answers but belongs to a different membership or none.
     #[display("in another group")]
     Elsewhere,
-    /// It doesn't answer, or nothing listens there.
+    /// The member doesn't answer or refuses the connection.
     ///
-    /// An endpoint that leaves stops listening while it still works on what it has, so a refused
-    /// connection says no more than silence does.
+    /// An endpoint that shuts down stops listening while it still finishes its requests, so a refused
+    /// connection is no more evidence than a timeout.
     #[display("silent")]
     Silent,
 }
 
-/// The members of a group, asked.
+/// The probe results of a group's members.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Finding {
-    /// What the head answered.
+    /// The result for the head.
     pub head: MemberProbe,
-    /// What each other member answered; one whose address isn't known is silent.
+    /// The results for the other members. A member with an unknown address counts as silent.
     pub others: Vec<MemberProbe>,
 }
 
-/// What follows for a group.
+/// The state of a group, derived from its probes.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
 pub enum Verdict {
-    /// It serves, or may serve soon.
+    /// The group serves or may serve soon.
     #[display("sound")]
     Sound,
-    /// It can't serve any more; the head answers and can be told to leave.
+    /// The group can't serve any more. Its head answers and can be ordered to leave.
     #[display("lost, its head answers")]
     Lost,
-    /// It can't serve any more, and its head can't be reached: it may stand still or end its work.
+    /// The group can't serve any more, and its head can't be reached. The head may be stalled or finishing
+    /// its requests.
     #[display("lost, its head is silent")]
     HeadSilent,
 }
 
-/// Judges a group.
+/// Determines the state of a group.
 ///
-/// A head that can't be reached may still be open, and members that join elsewhere meanwhile would be
-/// in two groups at once. So a group whose head can be told to leave is told apart from one whose
-/// members have to leave by themselves.
+/// A head that can't be reached may still accept requests. If its members joined another group meanwhile,
+/// they would be in two groups at once. Therefore groups whose head can be ordered to leave are
+/// distinguished from groups whose members have to leave by themselves.
 #[must_use]
 pub fn judge(finding: &Finding) -> Verdict {
     match finding.head {
         MemberProbe::Silent => Verdict::HeadSilent,
         MemberProbe::Elsewhere | MemberProbe::Member(GroupState::Broken) => Verdict::Lost,
         MemberProbe::Member(_) => {
-            let whole = finding.others.iter().all(
+            let is_complete = finding.others.iter().all(
                 |other| matches!(other, MemberProbe::Member(state) if *state != GroupState::Broken),
             );
-            if whole { Verdict::Sound } else { Verdict::Lost }
+            if is_complete {
+                Verdict::Sound
+            } else {
+                Verdict::Lost
+            }
         }
     }
 }
--- a/crates/sesamecart-fleet/src/repair/tests.rs
+++ b/crates/sesamecart-fleet/src/repair/tests.rs
@@ -1,4 +1,4 @@
-//! What the members' answers say of a group.
+//! Tests the verdict on a group for the results of probing its members.
 
 use super::{Finding, MemberProbe, Verdict, judge};
 use crate::endpoint::GroupState;
@@ -7,7 +7,7 @@
 const READY: MemberProbe = MemberProbe::Member(GroupState::Ready);
 const BROKEN: MemberProbe = MemberProbe::Member(GroupState::Broken);
 
-macro_rules! judges {
+macro_rules! verdicts {
     ($($name:ident: $head:expr, $others:expr => $verdict:expr;)*) => {
         $(
             #[test]
@@ -19,21 +19,21 @@
     };
 }
 
-judges! {
-    a_whole_group_is_sound: OPEN, [READY, READY] => Verdict::Sound;
+verdicts! {
+    a_complete_group_is_sound: OPEN, [READY, READY] => Verdict::Sound;
     a_group_of_one_is_sound: OPEN, [] => Verdict::Sound;
-    a_silent_member_loses_the_group: OPEN, [READY, MemberProbe::Silent] => Verdict::Lost;
-    a_member_elsewhere_loses_the_group: OPEN, [MemberProbe::Elsewhere] => Verdict::Lost;
-    a_broken_member_loses_the_group: OPEN, [BROKEN] => Verdict::Lost;
-    a_broken_head_loses_the_group: BROKEN, [READY] => Verdict::Lost;
-    a_head_elsewhere_loses_the_group: MemberProbe::Elsewhere, [READY] => Verdict::Lost;
+    a_group_with_a_silent_member_is_lost: OPEN, [READY, MemberProbe::Silent] => Verdict::Lost;
+    a_group_with_a_member_in_another_group_is_lost: OPEN, [MemberProbe::Elsewhere] => Verdict::Lost;
+    a_group_with_a_broken_member_is_lost: OPEN, [BROKEN] => Verdict::Lost;
+    a_group_with_a_broken_head_is_lost: BROKEN, [READY] => Verdict::Lost;
+    a_group_whose_head_is_in_another_group_is_lost: MemberProbe::Elsewhere, [READY] => Verdict::Lost;
 }
 
-/// An engine that leaves without a word stops listening while it still works on what it has. Its
-/// members seemed free and were joined to another group while the old one served: a caller's stream
-/// could have come from two groups' engines.
+/// An engine that shuts down without notice stops listening while it still finishes its requests. When its
+/// members were considered free and joined another group meanwhile, a caller's stream could come from
+/// engines of two groups.
 #[test]
-fn a_head_that_cannot_be_reached_has_not_ended() {
+fn an_unreachable_head_is_not_assumed_to_have_stopped() {
     let finding = Finding {
         head: MemberProbe::Silent,
         others: vec![READY, READY],
--- a/crates/sesamecart-fleet/src/sources.rs
+++ b/crates/sesamecart-fleet/src/sources.rs
@@ -1,10 +1,10 @@
-//! From whom a node hears what the platform's store says.
+//! Selection of the sources from which a node gets the contents of the platform's store.
 //!
-//! It answers the size of a deployment: reads that each node makes for itself grow with the nodes, and
-//! all nodes together may call the store so many times a second. One node of each failure domain reads
-//! the store and the others follow it, so calls grow with the failure domains. A second one stands by and
-//! steps in when the reader is gone. It also answers a store that turns some nodes away: they follow a
-//! node that still reads it.
+//! The rate of calls to the store is limited for all nodes together, and calls would grow with the number
+//! of nodes if each one read the store itself. Therefore one node of each failure domain reads the store
+//! and the other nodes follow it, so that calls grow only with the number of failure domains. A standby in
+//! each failure domain takes over when the reader is gone. If the store refuses some of the nodes, they
+//! follow a node that can still read it.
 
 use std::net::SocketAddr;
 
@@ -20,20 +20,20 @@
 
 pub use rotation::SourceRotation;
 
-/// What a node tells the others of itself.
+/// A node's description of itself for the other nodes.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct PeerNode {
-    /// Its name.
+    /// The node's ID.
     pub node: NodeId,
-    /// The failure domain that it lies in.
+    /// The failure domain of its VM.
     pub failure_domain: FailureDomainId,
-    /// Where it takes links from other nodes.
+    /// The address at which it accepts links from other nodes.
     pub links: SocketAddr,
-    /// The part of a core that it has.
+    /// The fraction of a processor core that is available to it.
     pub processor_share: f64,
 }
 
-/// From whom a node hears what the store says.
+/// A source of the store's contents.
 #[derive(Clone, Copy, Debug, derive_more::Display, Eq, Hash, PartialEq)]
 pub enum Source {
     /// The store itself.
@@ -44,40 +44,41 @@
     Node(SocketAddr),
 }
 
-/// What a node is to the others of its failure domain.
+/// The role of a node in its failure domain.
 #[derive(Clone, Copy, Debug, derive_more::Display, Eq, PartialEq)]
 pub enum Role {
-    /// It reads the store for them.
+    /// The node reads the store for the others.
     #[display("reader")]
     Reader,
-    /// It reads the store for them while the reader is gone.
+    /// The node reads the store for the others while the reader is gone.
     #[display("standby")]
     Standby,
-    /// It follows one of these.
+    /// The node follows a reader or standby.
     #[display("follower")]
     Follower,
 }
 
-/// The sources of one node, best first.
+/// The sources of one node, in order of preference.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SourcePlan {
-    /// What the node is to its failure domain.
+    /// The node's role in its failure domain.
     pub role: Role,
-    /// All its sources, to be tried in this order.
+    /// All sources, in the order in which they are tried.
     pub order: Vec<Source>,
-    /// Those that it returns to from any other one, once they serve again, best first.
+    /// The preferred sources, to which the node returns from any other one as soon as they serve again.
     pub home: Vec<Source>,
 }
 
-/// The most nodes whose loads a node watches.
+/// The maximum number of nodes whose loads a node watches.
 ///
-/// On a small deployment each knows all loads. On larger ones a node knows those of its nearest, and what
-/// the heads report of the others: the messages of all to all would take more of a node's link than it may
-/// spend on control. docs/CAPACITY.md has the bytes.
+/// In a small deployment, each node knows all loads. In a larger one, a node knows the loads of its nearest
+/// nodes and gets the rest from the reports of the heads: load updates between all pairs of nodes would
+/// exceed the part of a node's link bandwidth that is available for control traffic. docs/CAPACITY.md has
+/// the bytes.
 pub const MAX_WATCHED_PEERS: usize = 7;
 
-/// Returns the nodes whose loads a node watches, without those that are `gone`: the ones of its own failure
-/// domain first, which choose among the same near endpoints.
+/// Returns the nodes whose loads a node watches, not counting the nodes in `gone`. Nodes of its own failure
+/// domain come first, because they choose among the same nearby endpoints.
 #[must_use]
 pub fn peers_to_watch<'a>(
     own: &NodeId,
@@ -85,65 +86,65 @@
     gone: &IndexSet<NodeId>,
 ) -> Vec<&'a PeerNode> {
     let me = nodes.iter().find(|peer| peer.node == *own);
-    let is_near = |peer: &PeerNode| me.is_some_and(|me| me.failure_domain == peer.failure_domain);
+    let is_local = |peer: &PeerNode| me.is_some_and(|me| me.failure_domain == peer.failure_domain);
     let others = nodes.iter().filter(|peer| peer.node != *own);
     let mut others: Vec<&PeerNode> = others.filter(|peer| !gone.contains(&peer.node)).collect();
     others.sort_by_key(|peer| {
         let weight = rendezvous_weight(own.as_str(), peer.node.as_str());
-        (!is_near(peer), std::cmp::Reverse(weight))
+        (!is_local(peer), std::cmp::Reverse(weight))
     });
     others.truncate(MAX_WATCHED_PEERS);
     others
 }
 
-/// Chooses a node's sources; all nodes that know the same nodes choose the same readers.
+/// Plans a node's sources. All nodes with the same list of nodes choose the same readers.
 ///
-/// A follower turns to readers elsewhere before the standby of its own failure domain, which needs a
-/// moment to step in and has nothing but whole topics to give at first. The store comes last: were all
-/// followers of a reader that ends to read it at once, it would turn them away.
+/// A follower prefers readers of other failure domains over the standby of its own, which needs a moment to
+/// take over and can only send whole topics at first. The store comes last: if all followers of a failed
+/// reader read it at once, it would refuse them.
 #[must_use]
 pub fn plan_sources(own: &NodeId, nodes: &[PeerNode]) -> SourcePlan {
     let Some(me) = nodes.iter().find(|peer| peer.node == *own) else {
-        // Nothing is known of the others before the first read of the store.
+        // The other nodes are unknown before the first read of the store.
         return SourcePlan {
             role: Role::Reader,
             order: vec![Source::Store],
             home: vec![Source::Store],
         };
     };
-    let mut far = Vec::new();
-    let mut near = DomainReaders::default();
+    let mut remote = Vec::new();
+    let mut local = DomainReaders::default();
     for (domain, readers) in domain_readers(nodes) {
         if *domain == me.failure_domain {
-            near = readers;
+            local = readers;
         } else {
-            far.extend(readers.reader);
+            remote.extend(readers.reader);
         }
     }
-    far.sort_by_key(|reader| {
+    remote.sort_by_key(|reader| {
         let weight = rendezvous_weight(own.as_str(), reader.node.as_str());
         std::cmp::Reverse(weight)
     });
-    let far = far.into_iter().map(node_source);
-    let reader = near.reader.map(node_source);
-    let standby = near.standby.map(node_source);
-    if near.reader == Some(me) {
-        let others = standby.into_iter().chain(far);
+    let remote = remote.into_iter().map(node_source);
+    let reader = local.reader.map(node_source);
+    let standby = local.standby.map(node_source);
+    if local.reader == Some(me) {
+        let others = standby.into_iter().chain(remote);
         return SourcePlan {
             role: Role::Reader,
             order: std::iter::once(Source::Store).chain(others).collect(),
             home: vec![Source::Store],
         };
     }
-    if near.standby == Some(me) {
-        let others = std::iter::once(Source::Store).chain(far);
+    if local.standby == Some(me) {
+        let others = std::iter::once(Source::Store).chain(remote);
         return SourcePlan {
             role: Role::Standby,
             order: reader.into_iter().chain(others).collect(),
             home: reader.into_iter().collect(),
         };
     }
-    let others = far.chain(standby).chain([Source::Store]);
+    let others = remote.chain(standby).chain([Source::Store]);
     SourcePlan {
         role: Role::Follower,
         order: reader.into_iter().chain(others).collect(),
@@ -151,7 +152,7 @@
     }
 }
 
-/// Returns the nodes that read the store themselves, one of each failure domain.
+/// Returns the nodes that read the store themselves, one per failure domain.
 #[must_use]
 pub fn readers(nodes: &[PeerNode]) -> Vec<&PeerNode> {
     let domains = domain_readers(nodes).into_values();
@@ -165,7 +166,7 @@
     domains.filter_map(|domain| domain.standby).collect()
 }
 
-/// The nodes of one failure domain that may read the store.
+/// The reader and the standby of one failure domain.
 #[derive(Clone, Copy, Debug, Default)]
 struct DomainReaders<'a> {
     reader: Option<&'a PeerNode>,
@@ -178,7 +179,7 @@
         domains.entry(&peer.failure_domain).or_default().push(peer);
     }
     let chosen = domains.into_iter().map(|(domain, mut peers)| {
-        // A reader answers all that follow it, so the nodes with the most of a processor read.
+        // A reader serves all of its followers, so the nodes with the largest processor shares are chosen.
         peers.sort_by(|a, b| {
             let weight = |peer: &PeerNode| rendezvous_weight(domain.as_str(), peer.node.as_str());
             let by_share = b.processor_share.total_cmp(&a.processor_share);
--- a/crates/sesamecart-fleet/src/sources/rotation.rs
+++ b/crates/sesamecart-fleet/src/sources/rotation.rs
@@ -1,4 +1,4 @@
-//! In which order a node tries its sources while they fail.
+//! The order in which a node tries its sources while they fail.
 
 use std::time::Duration;
 
@@ -7,25 +7,26 @@
 
 use super::Source;
 
-/// How long a source has to serve before its end begins a new round.
-const SERVED_FOR: Duration = Duration::from_secs(1);
+/// How long a source must have served for its failure to start a new round.
+const MIN_SERVED_TIME: Duration = Duration::from_secs(1);
 
-/// The sources of one node that were tried since one of them served.
+/// The sources that a node has tried since one of them last served.
 ///
-/// Each is tried once before any is tried again. Passed over for a fixed time only, the first ones come
-/// back into the choice before the last one has its turn: a node whose readers are all turned away by the
-/// store would never ask the store itself, which may serve it.
+/// Each source is tried once before any is tried again. If failed sources were only skipped for a fixed
+/// time, the first ones would be tried again before the last one had its turn. A node whose readers are all
+/// refused by the store would then never try the store itself, which may still serve it.
 #[derive(Clone, Debug, Default)]
 pub struct SourceRotation {
     tried: IndexSet<Source>,
     failed_at: IndexMap<Source, Timestamp>,
-    /// The source that was tried last, if it wasn't ready.
+    /// The source that was tried last, if it wasn't reading the store.
     unready: Option<Source>,
-    begun_at: Timestamp,
+    started_at: Timestamp,
 }
 
 impl SourceRotation {
-    /// Returns the first source that wasn't tried in this round, or else the one that failed first.
+    /// Returns the first source that wasn't tried in this round. If all were tried, returns the one whose
+    /// last failure is oldest.
     #[must_use]
     pub fn choose(&self, order: &[Source]) -> Source {
         let untried = order.iter().find(|source| !self.tried.contains(*source));
@@ -37,14 +38,14 @@
         untried.or_else(oldest).copied().unwrap_or(Source::Store)
     }
 
-    /// Notes that a source is tried now.
+    /// Records the start of an attempt.
     pub fn begin(&mut self, now: Timestamp) {
-        self.begun_at = now;
+        self.started_at = now;
     }
 
-    /// Notes that a source doesn't serve any more, or never did.
+    /// Records that a source stopped serving or never served.
     pub fn fail(&mut self, now: Timestamp, source: Source) {
-        if now.since(self.begun_at) >= SERVED_FOR {
+        if now.since(self.started_at) >= MIN_SERVED_TIME {
             self.tried.clear();
         }
         self.tried.insert(source);
@@ -52,9 +53,10 @@
         self.unready = None;
     }
 
-    /// Notes that a source doesn't read the store; only the second time in a row it counts as failed.
+    /// Records that a source isn't reading the store. It counts as failed only at the second time in a row.
     ///
-    /// A reader that the store turns away may have it back at once, and all that follow it would leave.
+    /// A reader that the store refuses may get access again at once, and all of its followers would leave
+    /// it.
     pub fn fail_unready(&mut self, now: Timestamp, source: Source) {
         if self.unready == Some(source) {
             self.fail(now, source);
--- a/crates/sesamecart-fleet/src/sources/rotation_tests.rs
+++ b/crates/sesamecart-fleet/src/sources/rotation_tests.rs
@@ -1,4 +1,4 @@
-//! Plays sources that fail, and checks which one a node tries next.
+//! Simulates failing sources and checks which one a node tries next.
 
 use std::time::Duration;
 
@@ -12,8 +12,9 @@
     Source::Node(([127, 0, 0, 1], port).into())
 }
 
-/// Tries sources for `time`, each of which is unready twice and fails with that.
-fn tried(order: &[Source], time: Duration) -> Vec<Source> {
+/// Tries sources for `time` and returns them in order. Each source is unready twice in a row, which counts
+/// as a failure.
+fn try_sources(order: &[Source], time: Duration) -> Vec<Source> {
     let mut rotation = SourceRotation::default();
     let mut now = START;
     let mut tried = Vec::new();
@@ -29,10 +30,11 @@
     tried
 }
 
-/// The store turns away all nodes that others follow and serves this one. While it goes round among the others
-/// its configuration grows older than a change may take, and it lets in callers whose key was taken away.
+/// The store refuses all readers but still serves this node. If the node only rotated among the readers,
+/// its configuration would become older than the limit for changes, and it would admit callers whose key
+/// was revoked.
 #[test]
-fn the_store_has_its_turn_however_many_readers_are_turned_away() {
+fn the_store_is_tried_however_many_readers_it_refuses() {
     let order = [
         node(1),
         node(2),
@@ -42,19 +44,19 @@
         node(6),
         Source::Store,
     ];
-    let tried = tried(&order, Duration::from_millis(3_500));
+    let tried = try_sources(&order, Duration::from_millis(3_500));
     assert_eq!(tried, order);
 }
 
 #[test]
-fn after_a_round_the_source_that_failed_first_is_tried_again() {
+fn after_a_full_round_the_oldest_failure_is_retried() {
     let order = [node(1), Source::Store];
-    let tried = tried(&order, Duration::from_millis(1_500));
+    let tried = try_sources(&order, Duration::from_millis(1_500));
     assert_eq!(tried, [node(1), Source::Store, node(1)]);
 }
 
 #[test]
-fn the_end_of_a_source_that_served_begins_a_new_round() {
+fn the_failure_of_a_source_that_served_starts_a_new_round() {
     let order = [node(1), node(2), Source::Store];
     let mut rotation = SourceRotation::default();
     rotation.begin(START);
--- a/crates/sesamecart-fleet/src/sources/tests.rs
+++ b/crates/sesamecart-fleet/src/sources/tests.rs
@@ -1,4 +1,4 @@
-//! Who reads the store, and whom the others follow.
+//! Tests which nodes read the store and which nodes the others follow.
 
 use indexmap::IndexSet;
 
@@ -11,8 +11,10 @@
 
 fn peer(domain: u8, number: u8, processor_share: f64) -> PeerNode {
     PeerNode {
-        node: format!("node-{domain}-{number}").parse().expect("a name"),
-        failure_domain: format!("domain-{domain}").parse().expect("a name"),
+        node: format!("node-{domain}-{number}")
+            .parse()
+            .expect("valid name"),
+        failure_domain: format!("domain-{domain}").parse().expect("valid name"),
         links: ([127, 0, domain, number], 7_000).into(),
         processor_share,
     }
@@ -32,10 +34,10 @@
     plans.filter(|(_, plan)| plan.role == role).collect()
 }
 
-/// Were each node to read the store for itself, the calls would grow with the nodes until the store
-/// turns them away, and configurations would arrive late everywhere.
+/// If each node read the store itself, the calls would grow with the number of nodes until the store
+/// refused them, and configurations would arrive late everywhere.
 #[test]
-fn the_readers_grow_with_the_failure_domains_and_not_with_the_nodes() {
+fn readers_grow_with_failure_domains_and_not_with_nodes() {
     for (domains, each) in [(3, 2), (3, 24), (5, 76)] {
         let nodes = fleet(domains, each);
         assert_eq!(readers(&nodes).len(), usize::from(domains));
@@ -45,9 +47,9 @@
     }
 }
 
-/// A reader answers dozens of nodes. On the weakest VM that would slow its callers' requests.
+/// A reader serves dozens of nodes. On the weakest VM this would slow down its callers' requests.
 #[test]
-fn the_nodes_with_the_most_of_a_processor_read() {
+fn nodes_with_the_largest_processor_share_become_readers() {
     let mut nodes = fleet(1, 10);
     nodes[3].processor_share = 0.5;
     nodes[7].processor_share = 0.5;
@@ -57,10 +59,10 @@
     assert!(names.contains(&&nodes[7].node), "{names:?}");
 }
 
-/// A reader ends, and dozens of nodes lose their source at once. If they all turn to the store, it
-/// turns them away; if they all wait for the standby, they know of no change until it has stepped in.
+/// When a reader stops, dozens of nodes lose their source at once. If all of them read the store, it would
+/// refuse them. If all of them waited for the standby, they would miss changes until it has taken over.
 #[test]
-fn followers_turn_to_readers_elsewhere_and_to_the_store_last() {
+fn followers_prefer_readers_of_other_domains_over_the_store() {
     let nodes = fleet(3, 10);
     let (own, plan) = plans(&nodes, Role::Follower).remove(0);
     let domain = |source: &Source| {
@@ -69,14 +71,14 @@
             .find(|peer| *source == Source::Node(peer.links));
         peer.map(|peer| &peer.failure_domain)
     };
-    let near = nodes.iter().find(|peer| peer.node == *own);
-    let near = near.map(|peer| &peer.failure_domain);
-    let is_near: Vec<bool> = plan
+    let local = nodes.iter().find(|peer| peer.node == *own);
+    let local = local.map(|peer| &peer.failure_domain);
+    let is_local: Vec<bool> = plan
         .order
         .iter()
-        .map(|source| domain(source) == near)
+        .map(|source| domain(source) == local)
         .collect();
-    assert_eq!(is_near, [true, false, false, true, false], "{plan:?}");
+    assert_eq!(is_local, [true, false, false, true, false], "{plan:?}");
     assert_eq!(plan.order.last(), Some(&Source::Store));
     assert_eq!(plan.home, [plan.order[0], plan.order[3]]);
     let first: IndexSet<Source> = plans(&nodes, Role::Follower)
@@ -85,14 +87,14 @@
         .collect();
     assert!(
         first.len() > 1,
-        "they don't all turn to the same one: {first:?}"
+        "followers choose different readers: {first:?}"
     );
 }
 
-/// The standby reads the store as soon as its reader is gone, and follows it again once it is back:
-/// otherwise a failure domain would keep two readers for ever.
+/// The standby reads the store as soon as its reader is gone and follows the reader again once it is back.
+/// Otherwise a failure domain would keep two readers forever.
 #[test]
-fn the_standby_steps_in_for_its_reader() {
+fn the_standby_takes_over_for_its_reader() {
     let nodes = fleet(3, 10);
     for (_, plan) in plans(&nodes, Role::Standby) {
         assert_eq!(plan.order[1], Source::Store);
@@ -100,48 +102,48 @@
     }
 }
 
-/// A store that turns one node away serves the others. Without another source that node would refuse
-/// its callers as soon as its configuration is too old.
+/// The store may refuse one node and serve the others. Without another source, that node would refuse its
+/// callers as soon as its configuration is too old.
 #[test]
-fn a_reader_that_the_store_turns_away_has_other_sources() {
+fn a_reader_that_the_store_refuses_has_other_sources() {
     let nodes = fleet(3, 3);
     for (_, plan) in plans(&nodes, Role::Reader) {
         assert_eq!(plan.order[0], Source::Store);
         assert_eq!(
             plan.order.len(),
             4,
-            "the store, its standby and two readers elsewhere"
+            "the store, its standby and two readers of other failure domains"
         );
     }
 }
 
-/// A node that has just started knows nobody.
+/// A node that has just started doesn't know any other nodes.
 #[test]
-fn a_node_that_knows_nobody_reads_the_store() {
-    let own = "node-0-0".parse().expect("a name");
+fn a_node_without_known_peers_reads_the_store() {
+    let own = "node-0-0".parse().expect("valid name");
     assert_eq!(plan_sources(&own, &[]).order, [Source::Store]);
 }
 
-/// Each node tells its loads several dozen times a second. Were each of 380 to hear all others, the links
-/// would carry more than callers' requests do.
+/// Each node sends its loads several dozen times a second. If each of 380 nodes watched all others, the
+/// links would carry more control traffic than callers' requests.
 #[test]
-fn a_node_watches_so_many_others_at_most_and_near_ones_first() {
+fn watched_peers_are_limited_and_local_ones_come_first() {
     let small = fleet(2, 4);
-    let nobody = IndexSet::new();
-    assert_eq!(peers_to_watch(&small[0].node, &small, &nobody).len(), 7);
+    let none_gone = IndexSet::new();
+    assert_eq!(peers_to_watch(&small[0].node, &small, &none_gone).len(), 7);
     let large = fleet(5, 76);
     let own = &large[0];
-    let watched = peers_to_watch(&own.node, &large, &nobody);
+    let watched = peers_to_watch(&own.node, &large, &none_gone);
     assert_eq!(watched.len(), MAX_WATCHED_PEERS);
-    let near = |peer: &&PeerNode| peer.failure_domain == own.failure_domain;
-    assert!(watched.iter().all(near));
+    let local = |peer: &&PeerNode| peer.failure_domain == own.failure_domain;
+    assert!(watched.iter().all(local));
     assert!(watched.iter().all(|peer| peer.node != own.node));
 }
 
-/// A VM is replaced for good, and its entry stays in the list. Were it watched for ever, there would be
-/// no place for the one that came for it, whose prompts nobody would know of.
+/// A VM is replaced permanently, but its entry stays in the list. If it were still watched, its replacement
+/// would not be, and nobody would know of the prompts that the replacement sends.
 #[test]
-fn a_node_that_is_gone_leaves_its_place_to_another_one() {
+fn a_gone_peer_is_replaced_by_another_one() {
     let nodes = fleet(1, 9);
     let own = &nodes[0].node;
     let before = peers_to_watch(own, &nodes, &IndexSet::new());
--- a/crates/sesamecart-fleet/src/testkit.rs
+++ b/crates/sesamecart-fleet/src/testkit.rs
@@ -1,4 +1,4 @@
-//! Endpoints and configurations for tests.
+//! Endpoints, configurations and a simulated service for tests.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -12,44 +12,44 @@
 use crate::step_model::{StepModel, TokenCounts};
 
 pub(crate) fn service() -> ServiceId {
-    "llm".parse().expect("a name")
+    "llm".parse().expect("valid name")
 }
 
 pub(crate) fn id(text: &str) -> EndpointId {
-    text.parse().expect("a name")
+    text.parse().expect("valid name")
 }
 
 pub(crate) fn model(text: &str) -> ModelId {
-    text.parse().expect("a name")
+    text.parse().expect("valid name")
 }
 
 pub(crate) fn key(group: &str, epoch: u64) -> GroupKey {
     GroupKey {
-        group: group.parse().expect("a name"),
+        group: group.parse().expect("valid name"),
         epoch: GroupEpoch(epoch),
     }
 }
 
-/// An empty engine; `domain` is a failure domain, a hyphen and a fabric domain within it.
+/// An engine without a model. `domain` has the format `FAILURE_DOMAIN-FABRIC`.
 pub(crate) fn engine(name: &str, domain: &str) -> Endpoint {
-    let failure_domain = domain.split('-').next().expect("a failure domain");
+    let failure_domain = domain.split('-').next().expect("valid failure domain");
     Endpoint {
         id: id(name),
-        address: "127.0.0.1:1".parse().expect("an address"),
+        address: "127.0.0.1:1".parse().expect("valid address"),
         service: service(),
-        failure_domain: failure_domain.parse().expect("a name"),
+        failure_domain: failure_domain.parse().expect("valid name"),
         slots: 26,
         state: EndpointState::Ready,
         cold_for: Duration::ZERO,
         incarnation: None,
-        fabric_domain: Some(domain.parse::<FabricDomainId>().expect("a name")),
+        fabric_domain: Some(domain.parse::<FabricDomainId>().expect("valid name")),
         models: Vec::new(),
         staged: Vec::new(),
         group: None,
     }
 }
 
-/// The same engine as a member of a group.
+/// Makes an engine a member of a group that serves the model `serves`.
 pub(crate) fn member(
     mut engine: Endpoint,
     key: &GroupKey,
@@ -93,7 +93,7 @@
     }
 }
 
-/// A large model in groups of four and a small one in groups of three, of about equal load.
+/// A large model with groups of four engines and a small one with groups of three, with about equal load.
 pub(crate) fn spec() -> EngineSpec {
     EngineSpec {
         slots: 26,
@@ -107,7 +107,7 @@
     }
 }
 
-/// A large model in groups of sixteen and a small one in groups of four, of equal load.
+/// A large model with groups of sixteen engines and a small one with groups of four, with equal load.
 pub(crate) fn spec_of_sixteen() -> EngineSpec {
     EngineSpec {
         models: vec![
@@ -120,24 +120,24 @@
     }
 }
 
-/// A service that works on so many requests at once, each for the same time.
+/// A simulated service with a fixed number of slots, in which each request takes the same time.
 #[derive(Debug)]
 pub(crate) struct Slots {
     slots: usize,
-    work: Duration,
+    request_time: Duration,
     ends: VecDeque<Timestamp>,
 }
 
 impl Slots {
-    pub(crate) fn new(slots: usize, work: Duration) -> Self {
+    pub(crate) fn new(slots: usize, request_time: Duration) -> Self {
         Self {
             slots,
-            work,
+            request_time,
             ends: VecDeque::new(),
         }
     }
 
-    /// Returns the requests for each slot.
+    /// Returns the requests per slot.
     pub(crate) fn load(&mut self, now: Timestamp) -> f64 {
         while self.ends.front().is_some_and(|end| *end <= now) {
             self.ends.pop_front();
@@ -145,12 +145,12 @@
         self.ends.len() as f64 / self.slots as f64
     }
 
-    /// Takes a request, if there is room; returns whether there was.
+    /// Takes a request if a slot is free. Returns whether one was free.
     pub(crate) fn take(&mut self, now: Timestamp) -> bool {
-        let has_room = self.load(now) < 1.0;
-        if has_room {
-            self.ends.push_back(now + self.work);
+        let has_free_slot = self.load(now) < 1.0;
+        if has_free_slot {
+            self.ends.push_back(now + self.request_time);
         }
-        has_room
+        has_free_slot
     }
 }
