--- a/crates/sesamecart-fleet/src/loads/load.rs
+++ b/crates/sesamecart-fleet/src/loads/load.rs
@@ -12,7 +12,7 @@
 /// after which most of the reported requests have ended.
 ///
 /// Without it, an endpoint that once reported itself full would stay full forever for a node that has no
-/// requests there, and nodes that appear full to the others would get far more than the mean load.
+/// requests there, and such a node would send far more than the mean load to the remaining endpoints.
 const REPORT_DECAY_TIME: Duration = Duration::from_secs(1);
 
 /// The time constant with which a report loses its weight in the mean load: about the interval between two
--- a/crates/sesamecart-fleet/src/testkit.rs
+++ b/crates/sesamecart-fleet/src/testkit.rs
@@ -30,7 +30,8 @@
     }
 }
 
-/// An engine without a model. `domain` has the format `FAILURE_DOMAIN-FABRIC`.
+/// An engine without a model. `domain` is its fabric domain; the part before the hyphen is the failure
+/// domain.
 pub(crate) fn engine(name: &str, domain: &str) -> Endpoint {
     let failure_domain = domain.split('-').next().expect("valid failure domain");
     Endpoint {
