--- a/crates/sesamecart-entry/src/feed.rs
+++ b/crates/sesamecart-entry/src/feed.rs
@@ -1,4 +1,4 @@
-//! What this node read of the store, kept for the nodes that follow it.
+//! Caches what this node reads from the store and serves it to the nodes that follow this one.
 
 mod server;
 mod topic;
@@ -14,19 +14,19 @@
 use sesamecart_vocabulary::Timestamp;
 
 pub(crate) use crate::feed::server::serve;
-use crate::feed::topic::{Reread, TopicFeed};
+use crate::feed::topic::{ReplaceSummary, TopicFeed};
 use crate::follower::millis;
 
-/// How long a lost group is passed on; its head has given up by then.
-const LOSS_KEPT: Duration = Duration::from_secs(6);
+/// How long the loss of a group is kept for followers; the group's head has stopped serving by then.
+const LOSS_RETENTION: Duration = Duration::from_secs(6);
 
-/// The topics that are passed on.
+/// The topics that followers receive.
 const TOPICS: [Topic; 3] = [Topic::Operator, Topic::Registry, Topic::Nodes];
 
-/// What a node passes on to those that follow it.
+/// The topics and group losses that this node serves to its followers.
 ///
-/// It serves only while the node reads the store itself: a node that followed a follower could end up
-/// following itself, and both would believe each other for ever.
+/// It serves only while this node reads the store itself. If followers could be followed, two nodes could
+/// follow each other and keep confirming each other's stale data forever.
 #[derive(Debug)]
 pub(crate) struct Feed {
     id: u64,
@@ -37,16 +37,17 @@
 #[derive(Debug, Default)]
 struct State {
     topics: [Option<TopicFeed>; TOPICS.len()],
-    /// The topics that were read since this node reads the store again; it serves once it has all.
+    /// Whether each topic was read since this node last began to read the store. The feed serves once all
+    /// were.
     is_read: [bool; TOPICS.len()],
     losses: VecDeque<Loss>,
     losses_next: u64,
-    returned_at: Option<Timestamp>,
+    recovered_at: Option<Timestamp>,
 }
 
 #[derive(Debug)]
 struct Loss {
-    number: u64,
+    sequence: u64,
     at: Timestamp,
     group: String,
 }
@@ -64,65 +65,69 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Notes a topic that was read whole; returns what differs, if the topic is passed on.
+    /// Replaces a topic's contents after a full read. Returns a summary of the differences, or `None` for a
+    /// topic that isn't served to followers.
     pub(crate) fn replace(
         &self,
         topic: Topic,
         records: &[StoredRecord],
         end: Offset,
-    ) -> Option<Reread> {
-        self.change(topic, |feed| feed.replace(records, end))
+    ) -> Option<ReplaceSummary> {
+        self.update(topic, |feed| feed.replace(records, end))
     }
 
-    /// Notes records that were read, of which the last stands before `next`.
+    /// Applies records that were read, the last of which precedes offset `next`.
     pub(crate) fn apply(&self, topic: Topic, records: &[Record], next: Offset) {
         if !records.is_empty() {
-            let _passed_on = self.change(topic, |feed| feed.apply(records, next));
+            let _updated = self.update(topic, |feed| feed.apply(records, next));
         }
     }
 
-    fn change<T>(&self, topic: Topic, change: impl FnOnce(&mut TopicFeed) -> T) -> Option<T> {
-        let place = TOPICS.iter().position(|known| *known == topic)?;
+    fn update<T>(&self, topic: Topic, update: impl FnOnce(&mut TopicFeed) -> T) -> Option<T> {
+        let index = TOPICS.iter().position(|known| *known == topic)?;
         let mut state = self.state();
-        let changed = change(state.topics[place].get_or_insert_default());
-        state.is_read[place] = true;
+        let updated = update(state.topics[index].get_or_insert_default());
+        state.is_read[index] = true;
         drop(state);
         self.changed.notify(usize::MAX);
-        Some(changed)
+        Some(updated)
     }
 
-    /// Returns whether a topic was read.
-    pub(crate) fn has(&self, topic: Topic) -> bool {
-        let place = TOPICS.iter().position(|known| *known == topic);
-        place.is_some_and(|place| self.state().is_read[place])
+    /// Returns whether a topic was read since this node last began to read the store.
+    pub(crate) fn has_read(&self, topic: Topic) -> bool {
+        let index = TOPICS.iter().position(|known| *known == topic);
+        index.is_some_and(|index| self.state().is_read[index])
     }
 
-    /// Notes that the store came back after it was away.
-    pub(crate) fn note_return(&self, now: Timestamp) {
-        self.state().returned_at = Some(now);
+    /// Records that the store became available again after an outage.
+    pub(crate) fn record_recovery(&self, now: Timestamp) {
+        self.state().recovered_at = Some(now);
     }
 
-    /// Stops serving: this node doesn't read the store any more.
+    /// Stops serving because this node no longer reads the store.
     ///
-    /// What it read is kept. Once it reads the store again, only what differs is news; a reader that came
-    /// back with nothing would have to send all topics whole to all that follow it, at once.
-    pub(crate) fn stop(&self) {
+    /// The cached topics are kept, so that followers receive only the differences once this node reads the
+    /// store again. With an empty cache, it would have to send all topics in full to all its followers at
+    /// once.
+    pub(crate) fn stop_serving(&self) {
         self.state().is_read = Default::default();
         self.changed.notify(usize::MAX);
     }
 
-    /// Notes a lost group; returns whether it is news.
+    /// Records the loss of a group. Returns `false` if the loss was already recorded.
     pub(crate) fn note_loss(&self, now: Timestamp, key: &GroupKey) -> bool {
         let group = key.to_string();
         let mut state = self.state();
-        state.losses.retain(|loss| now.since(loss.at) < LOSS_KEPT);
+        state
+            .losses
+            .retain(|loss| now.since(loss.at) < LOSS_RETENTION);
         if state.losses.iter().any(|loss| loss.group == group) {
             return false;
         }
-        let number = state.losses_next;
+        let sequence = state.losses_next;
         state.losses_next += 1;
         state.losses.push_back(Loss {
-            number,
+            sequence,
             at: now,
             group,
         });
@@ -131,13 +136,14 @@
         true
     }
 
-    /// Returns what ends with the next change; make it before looking.
+    /// Returns a listener for the next change. Create it before reading the state, or a change in between is
+    /// missed.
     fn listen(&self) -> EventListener {
         self.changed.listen()
     }
 
-    /// Returns what a follower doesn't have yet, or nothing while this node doesn't read the store.
-    pub(crate) fn newer(&self, now: Timestamp, req: &FollowRequest) -> Option<FollowReply> {
+    /// Returns what a follower doesn't have yet, or `None` unless all topics were read from the store.
+    pub(crate) fn reply_to(&self, now: Timestamp, req: &FollowRequest) -> Option<FollowReply> {
         let state = self.state();
         if !state.is_read.iter().all(|is_read| *is_read) {
             return None;
@@ -151,8 +157,8 @@
         let losses = state
             .losses
             .iter()
-            .filter(|loss| loss.number >= losses_from);
-        let returned = state.returned_at.map(|at| millis(now.since(at)));
+            .filter(|loss| loss.sequence >= losses_from);
+        let since_recovery = state.recovered_at.map(|at| millis(now.since(at)));
         Some(FollowReply {
             feed: self.id,
             operator: Some(operator.as_ref()?.part_from(req.operator_next)),
@@ -161,12 +167,12 @@
             losses: losses.map(|loss| loss.group.clone()).collect(),
             losses_next: state.losses_next,
             vouched_ms: 0,
-            returned_ms: returned,
+            returned_ms: since_recovery,
         })
     }
 }
 
-fn has_news(reply: &FollowReply) -> bool {
+fn has_updates(reply: &FollowReply) -> bool {
     let parts = [&reply.operator, &reply.registry, &reply.nodes];
     let is_new = |part: &&Option<TopicPart>| {
         let part = part.as_ref();
--- a/crates/sesamecart-entry/src/feed/server.rs
+++ b/crates/sesamecart-entry/src/feed/server.rs
@@ -1,4 +1,4 @@
-//! The side of a feed that takes calls of the nodes that follow.
+//! The gRPC service through which other nodes follow this node's feed.
 
 use std::net::TcpListener;
 use std::sync::Arc;
@@ -18,21 +18,21 @@
 use crate::clock;
 use crate::examinations::Examinations;
 use crate::exchange::{self, Changes};
-use crate::feed::has_news;
+use crate::feed::has_updates;
 use crate::follower::millis;
 use crate::losses::{parse_group, report_to_store};
 
-/// The longest time for which a follower's call is held: twice what followers ask for, and half of the
-/// 2 s after which a link gives a call up.
-const WAIT_MOST: Duration = Duration::from_secs(1);
+/// The longest time for which a follower's call is held: twice what followers request, and half of the 2 s
+/// after which a link cancels a call.
+const MAX_WAIT: Duration = Duration::from_secs(1);
 
-struct Side {
+struct FeedHandler {
     beliefs: Arc<Beliefs>,
     store: Store,
     examinations: Examinations,
 }
 
-/// Takes calls of followers until the task is cancelled.
+/// Serves the calls of followers until the task is cancelled.
 pub(crate) async fn serve(
     beliefs: Arc<Beliefs>,
     store: Store,
@@ -40,19 +40,19 @@
     listener: TcpListener,
     tasks: Tasks,
 ) {
-    let side = Side {
+    let handler = FeedHandler {
         beliefs,
         store,
         examinations,
     };
-    let served = sesamecart_links::serve_feed(listener, side, tasks, ByteCount::default());
+    let served = sesamecart_links::serve_feed(listener, handler, tasks, ByteCount::default());
     if let Err(error) = served.await {
-        log::error!("feed: followers can't be taken: {error}.");
+        log::error!("feed: cannot serve followers: {error}.");
     }
 }
 
-impl Side {
-    fn newer(&self, req: &FollowRequest) -> Result<FollowReply, Status> {
+impl FeedHandler {
+    fn reply_to(&self, req: &FollowRequest) -> Result<FollowReply, Status> {
         if self.beliefs.is_leaving() {
             return Err(Status::unavailable("the node is leaving"));
         }
@@ -61,32 +61,32 @@
                 "the node doesn't read the store",
             ));
         }
-        let not_yet = || Status::not_found("the node has read nothing yet");
-        let age = self.beliefs.configuration_age().ok_or_else(not_yet)?;
-        let reply = self.beliefs.feed.newer(clock::now(), req);
-        let mut reply = reply.ok_or_else(not_yet)?;
+        let not_read_yet = || Status::not_found("the node has read nothing yet");
+        let age = self.beliefs.configuration_age().ok_or_else(not_read_yet)?;
+        let reply = self.beliefs.feed.reply_to(clock::now(), req);
+        let mut reply = reply.ok_or_else(not_read_yet)?;
         reply.vouched_ms = millis(age).saturating_add(1);
         Ok(reply)
     }
 }
 
 #[async_trait]
-impl FeedService for Side {
+impl FeedService for FeedHandler {
     async fn follow(
         &self,
         request: Request<FollowRequest>,
     ) -> Result<Response<FollowReply>, Status> {
         let req = request.into_inner();
-        let wait = Duration::from_millis(req.wait_ms.into()).min(WAIT_MOST);
-        let until = clock::now() + wait;
+        let wait = Duration::from_millis(req.wait_ms.into()).min(MAX_WAIT);
+        let deadline = clock::now() + wait;
         loop {
             let changed = self.beliefs.feed.listen();
-            let reply = self.newer(&req)?;
-            let left = until.since(clock::now());
-            if left.is_zero() || has_news(&reply) {
+            let reply = self.reply_to(&req)?;
+            let remaining = deadline.since(clock::now());
+            if remaining.is_zero() || has_updates(&reply) {
                 return Ok(Response::new(reply));
             }
-            future::or(changed, sleep(left)).await;
+            future::or(changed, sleep(remaining)).await;
         }
     }
 
@@ -94,7 +94,7 @@
         &self,
         request: Request<GroupLoss>,
     ) -> Result<Response<GroupVerdict>, Status> {
-        let key = read_group(&request)?;
+        let key = decode_group(&request)?;
         let verdict = self.examinations.verdict(&key).await;
         Ok(Response::new(GroupVerdict {
             is_sound: verdict == Verdict::Sound,
@@ -102,8 +102,8 @@
     }
 
     async fn report_loss(&self, request: Request<GroupLoss>) -> Result<Response<Noted>, Status> {
-        let key = read_group(&request)?;
-        // Many followers find the same loss at once; the controller needs to hear of it once.
+        let key = decode_group(&request)?;
+        // Many followers detect the same loss at once, and one report to the controller is enough.
         if self.beliefs.note_reported(&key) {
             report_to_store(&self.beliefs, &self.store, &key).await;
         }
@@ -120,14 +120,14 @@
     }
 
     async fn announce_loss(&self, request: Request<GroupLoss>) -> Result<Response<Noted>, Status> {
-        let key = read_group(&request)?;
+        let key = decode_group(&request)?;
         self.beliefs.lose_group(&key);
         self.beliefs.feed.note_loss(clock::now(), &key);
         Ok(Response::new(Noted {}))
     }
 }
 
-fn read_group(req: &Request<GroupLoss>) -> Result<GroupKey, Status> {
+fn decode_group(req: &Request<GroupLoss>) -> Result<GroupKey, Status> {
     parse_group(&req.get_ref().group)
         .ok_or_else(|| Status::invalid_argument("the group isn't of the form name@epoch"))
 }
--- a/crates/sesamecart-entry/src/feed/source_change_tests.rs
+++ b/crates/sesamecart-entry/src/feed/source_change_tests.rs
@@ -1,4 +1,4 @@
-//! Plays a topic that changes, nodes that read it at times, and a follower that goes from one to the other.
+//! Simulates a changing topic, nodes that read it intermittently, and a follower that switches between them.
 
 use indexmap::IndexMap;
 use sesamecart_links::feed::{FollowRequest, TopicPart};
@@ -7,32 +7,32 @@
 use sesamecart_vocabulary::Timestamp;
 
 use super::Feed;
-use super::topic::GAPS_KEPT;
+use super::topic::MAX_GAPS;
 
 const NOW: Timestamp = Timestamp(10_000_000);
 
-/// What a topic holds, by key.
+/// The contents of a topic, by key.
 type Values = IndexMap<String, Vec<u8>>;
 
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    /// A key gets a value.
+    /// Write a value to a key.
     Put(&'static str, &'static str),
-    /// A key is dropped.
+    /// Drop a key.
     Drop(&'static str),
-    /// The store forgets its history, so that all readers have to read the topic whole.
-    Compact,
-    /// A node reads what is new; one that doesn't read the store begins to.
+    /// Trim the store's history, so that all readers have to reread the topic in full.
+    Trim,
+    /// Let a node read new records; a node that doesn't read the store begins to.
     Read(usize),
-    /// A node stops reading the store.
+    /// Let a node stop reading the store.
     Stop(usize),
-    /// The follower asks a node for what it doesn't have.
+    /// Let the follower request an update from a node.
     Follow(usize),
 }
 
-use Step::{Compact, Drop, Follow, Put, Read, Stop};
+use Step::{Drop, Follow, Put, Read, Stop, Trim};
 
-/// The topic as the store has it.
+/// The topic in the store.
 #[derive(Default)]
 struct Log {
     records: Vec<Record>,
@@ -51,10 +51,10 @@
         Offset(self.records.len() as u64)
     }
 
-    /// Returns what the topic held once the records before `end` were written.
+    /// Returns the topic's contents after the records before `end`.
     fn values_at(&self, end: u64) -> Values {
         let mut values = Values::new();
-        for record in &self.records[..usize::try_from(end).expect("a short log")] {
+        for record in &self.records[..usize::try_from(end).expect("the offset fits")] {
             apply(&mut values, record.key.as_deref(), record.value.clone());
         }
         values
@@ -89,10 +89,10 @@
     }
 }
 
-/// A node that reads the store at times.
+/// A node that reads the store intermittently.
 struct Reader {
     feed: Feed,
-    /// Where it goes on; nothing while it doesn't read the store.
+    /// The next offset to read, or `None` while the node doesn't read the store.
     next: Option<usize>,
 }
 
@@ -111,9 +111,9 @@
                 self.feed.apply(Topic::Registry, records, log.end());
             }
             _ => {
-                let _reread = self.feed.replace(Topic::Registry, &log.newest(), log.end());
+                let _summary = self.feed.replace(Topic::Registry, &log.newest(), log.end());
                 for topic in [Topic::Operator, Topic::Nodes] {
-                    let _reread = self.feed.replace(topic, &[], Offset(0));
+                    let _summary = self.feed.replace(topic, &[], Offset(0));
                 }
             }
         }
@@ -121,12 +121,12 @@
     }
 
     fn stop(&mut self) {
-        self.feed.stop();
+        self.feed.stop_serving();
         self.next = None;
     }
 }
 
-/// A node that follows others.
+/// A node that follows the readers.
 #[derive(Default)]
 struct Follower {
     next: u64,
@@ -139,17 +139,17 @@
             registry_next: self.next,
             ..FollowRequest::default()
         };
-        let Some(reply) = reader.feed.newer(NOW, &req) else {
+        let Some(reply) = reader.feed.reply_to(NOW, &req) else {
             return;
         };
-        let part = reply.registry.expect("a reader has all topics");
-        // A node that knows less is left alone, as a follower does.
+        let part = reply.registry.expect("a serving feed has all topics");
+        // Like a real follower, ignores a node whose offset is behind its own.
         if part.next >= self.next {
-            self.take(part);
+            self.apply_part(part);
         }
     }
 
-    fn take(&mut self, part: TopicPart) {
+    fn apply_part(&mut self, part: TopicPart) {
         let unchanged = part.unchanged.map(|unchanged| unchanged.keys);
         let unchanged = unchanged.or_else(|| part.whole.then(Vec::new));
         if let Some(unchanged) = unchanged {
@@ -162,8 +162,8 @@
     }
 }
 
-/// Plays the steps, and checks after each answer that the follower has what the topic held there.
-fn play(steps: &[Step]) {
+/// Runs the steps and checks after each that the follower has the topic's contents at its offset.
+fn run_steps(steps: &[Step]) {
     let mut log = Log::default();
     let mut readers = [Reader::new(), Reader::new(), Reader::new()];
     let mut follower = Follower::default();
@@ -171,58 +171,58 @@
         match *step {
             Put(key, value) => log.append(key, Some(value)),
             Drop(key) => log.append(key, None),
-            Compact => log.first = log.records.len(),
+            Trim => log.first = log.records.len(),
             Read(reader) => readers[reader].read(&log),
             Stop(reader) => readers[reader].stop(),
             Follow(reader) => follower.follow(&readers[reader]),
         }
-        let held = log.values_at(follower.next);
+        let expected = log.values_at(follower.next);
         assert!(
-            follower.values == held,
-            "after step {index} of {steps:?}: {:?} instead of {held:?}",
+            follower.values == expected,
+            "after step {index} of {steps:?}: got {:?}, expected {expected:?}",
             follower.values
         );
     }
 }
 
-macro_rules! a_follower_has_what_the_store_holds {
+macro_rules! follower_matches_store_tests {
     ($($(#[$doc:meta])* $name:ident: $steps:expr;)*) => {
         $(
             $(#[$doc])*
             #[test]
             fn $name() {
-                play(&$steps);
+                run_steps(&$steps);
             }
         )*
     };
 }
 
-a_follower_has_what_the_store_holds! {
-    /// Guards against requests into an evacuated failure domain.
-    evacuated_again_while_its_reader_read_nothing: [
+follower_matches_store_tests! {
+    /// Guards against routing requests to an evacuated failure domain.
+    second_evacuation_is_received_from_a_reader_that_missed_the_drop: [
         Put("evacuated", "a"), Read(0), Stop(0), Drop("evacuated"), Read(1), Follow(1),
         Put("evacuated", "a"), Read(0), Follow(0),
     ];
-    /// Guards against requests to an endpoint that is gone.
-    endpoint_came_and_went_while_its_reader_read_nothing: [
+    /// Guards against routing requests to an endpoint that no longer exists.
+    endpoint_added_and_removed_within_a_gap_is_removed: [
         Put("other", "a"), Read(0), Stop(0), Put("endpoint", "a"), Read(1), Follow(1),
         Drop("endpoint"), Read(0), Follow(0),
     ];
-    /// Guards against a failure domain that stays evacuated for ever.
-    taken_back_again_while_its_reader_read_nothing: [
+    /// Guards against a failure domain that stays evacuated forever.
+    second_drop_is_received_from_a_reader_that_missed_the_put: [
         Put("evacuated", "a"), Drop("evacuated"), Put("other", "a"), Read(0), Stop(0),
         Put("evacuated", "a"), Read(1), Follow(1), Drop("evacuated"), Read(0), Follow(0),
     ];
-    /// Guards against a value from before, where the store forgets its history under a node that reads on.
-    changed_and_changed_back_in_a_forgotten_history: [
+    /// Guards against an outdated value when the store trims the history that a reader hasn't read yet.
+    value_changed_and_restored_within_trimmed_history_is_received: [
         Put("endpoint", "a"), Read(0), Put("endpoint", "b"), Read(1), Follow(1),
-        Put("endpoint", "a"), Compact, Read(0), Follow(0),
+        Put("endpoint", "a"), Trim, Read(0), Follow(0),
     ];
 }
 
-/// Guards against an endpoint that is gone, where its reader stopped reading more often than it tells apart.
+/// Guards against keeping a removed endpoint when the reader has had more gaps than it keeps separately.
 #[test]
-fn endpoint_went_in_one_of_many_gaps() {
+fn endpoint_removed_within_a_merged_gap_is_removed() {
     let begin = [
         Put("other", "a"),
         Read(0),
@@ -233,10 +233,10 @@
         Drop("endpoint"),
     ];
     let gap = [Read(0), Stop(0), Put("other", "a")];
-    let gaps = std::iter::repeat_n(gap, 2 * GAPS_KEPT).flatten();
+    let gaps = std::iter::repeat_n(gap, 2 * MAX_GAPS).flatten();
     let end = [Read(0), Follow(0)];
     let steps: Vec<Step> = begin.into_iter().chain(gaps).chain(end).collect();
-    play(&steps);
+    run_steps(&steps);
 }
 
 fn step((kind, key, reader): (u8, u8, u8)) -> Step {
@@ -246,18 +246,18 @@
     match kind % 12 {
         0 | 1 => Put(key, value),
         2 | 3 => Drop(key),
-        4 => Compact,
+        4 => Trim,
         5..=7 => Read(reader),
         8 => Stop(reader),
         _ => Follow(reader),
     }
 }
 
-/// Guards against any sequence of readers that leaves a follower with what the topic no longer holds.
+/// Guards against any sequence of readers that leaves a follower with outdated contents.
 #[test]
-fn a_follower_has_what_the_store_holds_whichever_nodes_it_followed() {
+fn follower_matches_the_store_after_any_sequence_of_readers() {
     check_property(bolero::produce::<Vec<(u8, u8, u8)>>(), |steps| {
         let steps: Vec<Step> = steps.iter().copied().map(step).collect();
-        play(&steps);
+        run_steps(&steps);
     });
 }
--- a/crates/sesamecart-entry/src/feed/tests.rs
+++ b/crates/sesamecart-entry/src/feed/tests.rs
@@ -1,4 +1,4 @@
-//! What a node passes on to those that follow it.
+//! Tests of the updates that followers receive from a feed.
 
 use std::time::Duration;
 
@@ -7,8 +7,8 @@
 use sesamecart_platform::{Offset, Record, StoredRecord, Topic};
 use sesamecart_vocabulary::Timestamp;
 
-use super::topic::DROPPED_KEPT;
-use super::{Feed, LOSS_KEPT, has_news};
+use super::topic::MAX_TOMBSTONES;
+use super::{Feed, LOSS_RETENTION, has_updates};
 
 const NOW: Timestamp = Timestamp(10_000_000);
 
@@ -26,7 +26,7 @@
     }
 }
 
-/// A feed that has read a registry of two endpoints, which ends at offset 10.
+/// Returns a feed whose registry topic contains two endpoints and ends at offset 10.
 fn feed() -> Feed {
     let feed = Feed::new();
     feed.replace(Topic::Operator, &[stored(2, "config", "1")], Offset(3));
@@ -36,17 +36,20 @@
     feed
 }
 
-fn ask(feed: &Feed, registry_next: u64) -> FollowReply {
+fn request_update(feed: &Feed, registry_next: u64) -> FollowReply {
     let req = FollowRequest {
         operator_next: 3,
         registry_next,
         ..FollowRequest::default()
     };
-    feed.newer(NOW, &req).expect("it serves")
+    feed.reply_to(NOW, &req).expect("the feed is serving")
 }
 
 fn registry(reply: &FollowReply) -> Vec<(&str, Option<&[u8]>)> {
-    let part = reply.registry.as_ref().expect("it is there");
+    let part = reply
+        .registry
+        .as_ref()
+        .expect("the reply has a registry part");
     let records = part.records.iter();
     records
         .map(|record| (record.key.as_str(), record.value.as_deref()))
@@ -54,147 +57,182 @@
 }
 
 #[test]
-fn a_follower_that_has_nothing_gets_all() {
-    let reply = ask(&feed(), 0);
+fn a_new_follower_receives_the_whole_topic() {
+    let reply = request_update(&feed(), 0);
     assert_eq!(
         registry(&reply),
         [("e1", Some(&b"a"[..])), ("e2", Some(&b"b"[..]))]
     );
-    assert!(reply.registry.expect("it is there").whole);
+    assert!(reply.registry.expect("the reply has a registry part").whole);
 }
 
-/// A follower that got all records again and again would spend its link and its processor on them.
+/// Guards against sending all records in every reply, which would waste the follower's bandwidth and CPU
+/// time.
 #[test]
-fn a_follower_gets_what_is_new_to_it() {
+fn a_follower_receives_only_newer_records() {
     let feed = feed();
-    assert!(registry(&ask(&feed, 10)).is_empty());
+    assert!(registry(&request_update(&feed, 10)).is_empty());
     feed.apply(
         Topic::Registry,
         &[record("e2", None), record("e3", Some("c"))],
         Offset(12),
     );
-    let reply = ask(&feed, 10);
+    let reply = request_update(&feed, 10);
     assert_eq!(registry(&reply), [("e2", None), ("e3", Some(&b"c"[..]))]);
     assert_eq!(reply.registry.as_ref().map(|part| part.next), Some(12));
-    assert_eq!(registry(&ask(&feed, 11)).len(), 1);
+    assert_eq!(registry(&request_update(&feed, 11)).len(), 1);
 }
 
-/// A reader ends, and the node that stands in for it has just read the topics. It doesn't know what was
-/// dropped before; a follower that got only what is newer would send to endpoints that are gone.
+/// A reader fails, and the standby that replaces it has just read the topics, so it doesn't know which keys
+/// were dropped before. A follower that received only newer records would send requests to removed endpoints.
 #[test]
-fn a_follower_that_comes_from_another_node_gets_all_that_may_be_gone() {
+fn a_follower_that_switches_nodes_receives_the_whole_topic_if_drops_are_unknown() {
     let feed = feed();
-    let reply = ask(&feed, 8);
-    assert!(reply.registry.as_ref().expect("it is there").whole);
-    let reply = ask(&feed, 10);
-    assert!(!reply.registry.as_ref().expect("it is there").whole);
+    let reply = request_update(&feed, 8);
+    assert!(
+        reply
+            .registry
+            .as_ref()
+            .expect("the reply has a registry part")
+            .whole
+    );
+    let reply = request_update(&feed, 10);
+    assert!(
+        !reply
+            .registry
+            .as_ref()
+            .expect("the reply has a registry part")
+            .whole
+    );
 }
 
-/// After an outage the topic is read whole. An endpoint that isn't in it any more has to go at the
-/// followers as well, or they send requests to an address where nobody listens.
+/// After an outage, the topic is read in full. An endpoint that is no longer in it has to be removed at the
+/// followers as well, or they send requests to an address where nothing listens.
 #[test]
-fn what_is_missing_when_a_topic_is_read_anew_is_gone_for_followers() {
+fn a_key_missing_from_a_reread_topic_is_removed_at_followers() {
     let feed = feed();
     feed.replace(Topic::Registry, &[stored(8, "e1", "a")], Offset(20));
-    let reply = ask(&feed, 10);
+    let reply = request_update(&feed, 10);
     assert!(registry(&reply).contains(&("e2", None)));
 }
 
-/// A store forgets its history, and the reader reads all of a topic anew. Were every follower sent all of it
-/// again, the reader's link would be full, and their configurations would grow too old to serve callers.
+/// The store trims its history, and the reader rereads a topic in full. Sending the whole topic to every
+/// follower would saturate the reader's link, and the followers' configurations would become too old to serve
+/// callers.
 #[test]
-fn a_topic_that_is_read_anew_is_not_sent_again() {
+fn only_changed_records_of_a_reread_topic_are_sent() {
     let feed = feed();
     let endpoints = [stored(8, "e1", "a"), stored(15, "e2", "changed")];
     feed.replace(Topic::Registry, &endpoints, Offset(20));
-    let reply = ask(&feed, 10);
+    let reply = request_update(&feed, 10);
     assert_eq!(registry(&reply), [("e2", Some(&b"changed"[..]))]);
     assert_eq!(reply.registry.as_ref().map(|part| part.next), Some(20));
 }
 
-/// A follower that was away for longer than drops are remembered would keep endpoints that are gone.
+/// A follower that was disconnected for longer than tombstones are kept would otherwise keep removed
+/// endpoints.
 #[test]
-fn a_follower_that_was_away_for_long_gets_all() {
+fn a_follower_behind_the_discarded_tombstones_receives_the_whole_topic() {
     let feed = feed();
     let mut next = 10;
-    for index in 0..=DROPPED_KEPT {
+    for index in 0..=MAX_TOMBSTONES {
         next += 2;
         let key = format!("x{index}");
         let records = [record(&key, Some("x")), record(&key, None)];
         feed.apply(Topic::Registry, &records, Offset(next));
     }
-    let reply = ask(&feed, 10);
-    assert!(reply.registry.as_ref().expect("it is there").whole);
+    let reply = request_update(&feed, 10);
+    assert!(
+        reply
+            .registry
+            .as_ref()
+            .expect("the reply has a registry part")
+            .whole
+    );
     assert_eq!(registry(&reply).len(), 2);
 }
 
-/// A node that lost the store follows another one itself. Were it to go on serving, two nodes could
-/// follow each other and vouch for a configuration that nobody reads.
+/// A node that lost the store follows another node. If it continued to serve, two nodes could follow each
+/// other and confirm a configuration that neither reads from the store.
 #[test]
-fn a_node_that_doesnt_read_the_store_serves_nobody() {
+fn a_node_that_does_not_read_the_store_does_not_serve() {
     let feed = feed();
-    feed.stop();
-    assert!(feed.newer(NOW, &FollowRequest::default()).is_none());
+    feed.stop_serving();
+    assert!(feed.reply_to(NOW, &FollowRequest::default()).is_none());
 }
 
-/// The store is away for seconds, and the reader follows another node meanwhile. Back at the store it must not
-/// send everything to all that follow it: their answers would take longer than they wait, they would ask
-/// elsewhere and start over, and no node would get a configuration any more.
+/// The store is unavailable for seconds, and the reader follows another node meanwhile. When it reads the
+/// store again, it must not send all topics to all its followers: the replies would exceed the followers'
+/// timeouts, the followers would start over with other nodes, and none would receive a configuration.
 #[test]
-fn a_reader_that_comes_back_sends_only_what_differs() {
+fn a_reader_that_resumes_reading_the_store_sends_only_differences() {
     let feed = feed();
-    feed.stop();
+    feed.stop_serving();
     feed.replace(Topic::Operator, &[stored(2, "config", "1")], Offset(3));
     feed.replace(Topic::Registry, &[stored(9, "e2", "b")], Offset(14));
     assert!(
-        feed.newer(NOW, &FollowRequest::default()).is_none(),
-        "a topic is missing"
+        feed.reply_to(NOW, &FollowRequest::default()).is_none(),
+        "one topic hasn't been read yet"
     );
     feed.replace(Topic::Nodes, &[], Offset(0));
-    let reply = ask(&feed, 10);
-    assert!(!reply.registry.as_ref().expect("it is there").whole);
+    let reply = request_update(&feed, 10);
+    assert!(
+        !reply
+            .registry
+            .as_ref()
+            .expect("the reply has a registry part")
+            .whole
+    );
     assert_eq!(registry(&reply), [("e1", None)]);
 }
 
-/// Guards against an endpoint that went in a gap and is kept while nothing else changes.
+/// Guards against an endpoint that was removed within a gap and is kept for as long as nothing else changes.
 #[test]
 fn unchanged_keys_alone_are_an_update_for_a_follower_in_a_gap() {
     let feed = feed();
-    feed.stop();
+    feed.stop_serving();
     feed.replace(Topic::Operator, &[stored(2, "config", "1")], Offset(3));
     let endpoints = [stored(8, "e1", "a"), stored(9, "e2", "b")];
     feed.replace(Topic::Registry, &endpoints, Offset(12));
     feed.replace(Topic::Nodes, &[], Offset(0));
-    let reply = ask(&feed, 11);
+    let reply = request_update(&feed, 11);
     assert!(registry(&reply).is_empty());
-    assert!(has_news(&reply));
-    assert!(!has_news(&ask(&feed, 12)));
+    assert!(has_updates(&reply));
+    assert!(!has_updates(&request_update(&feed, 12)));
 }
 
-/// The controller's finding has to reach each follower once, also one that comes from another node.
+/// A loss that the controller announces has to reach each follower once, including one that switches from
+/// another node.
 #[test]
-fn losses_are_passed_on_once_to_each_follower() {
+fn each_follower_receives_a_loss_once() {
     let feed = feed();
     let key = GroupKey {
-        group: "g1".parse().expect("a name"),
-        epoch: "7".parse().expect("a number"),
+        group: "g1".parse().expect("a valid group name"),
+        epoch: "7".parse().expect("a valid epoch"),
     };
     assert!(feed.note_loss(NOW, &key));
-    assert!(!feed.note_loss(NOW, &key), "it is no news");
-    let reply = ask(&feed, 10);
+    assert!(!feed.note_loss(NOW, &key), "the loss is already recorded");
+    let reply = request_update(&feed, 10);
     assert_eq!(reply.losses, ["g1@7"]);
     let seen = FollowRequest {
         feed: reply.feed,
         losses_next: reply.losses_next,
         ..FollowRequest::default()
     };
-    assert!(feed.newer(NOW, &seen).expect("it serves").losses.is_empty());
-    let elsewhere = FollowRequest {
+    assert!(
+        feed.reply_to(NOW, &seen)
+            .expect("the feed is serving")
+            .losses
+            .is_empty()
+    );
+    let from_other_feed = FollowRequest {
         feed: reply.feed + 1,
         ..seen
     };
-    let again = feed.newer(NOW, &elsewhere).expect("it serves");
+    let again = feed
+        .reply_to(NOW, &from_other_feed)
+        .expect("the feed is serving");
     assert_eq!(again.losses, ["g1@7"]);
-    let later = NOW + LOSS_KEPT + Duration::from_millis(1);
-    assert!(feed.note_loss(later, &key), "the old one is forgotten");
+    let later = NOW + LOSS_RETENTION + Duration::from_millis(1);
+    assert!(feed.note_loss(later, &key), "the earlier loss has expired");
 }
--- a/crates/sesamecart-entry/src/feed/topic.rs
+++ b/crates/sesamecart-entry/src/feed/topic.rs
@@ -1,4 +1,4 @@
-//! One topic, as a node that reads it passes it on to others.
+//! The cached contents of one topic, from which followers are served.
 
 use std::ops::Range;
 
@@ -6,37 +6,37 @@
 use sesamecart_links::feed::{KeyedRecord, TopicPart, UnchangedKeys};
 use sesamecart_platform::{Offset, Record, StoredRecord};
 
-/// How many dropped keys of a topic are remembered, for followers that still have them.
+/// The maximum number of tombstones that are kept of a topic, for followers that still have the dropped keys.
 ///
-/// A follower asks several times a second. One that was away for longer than so many drops gets the
-/// whole topic instead.
-pub(super) const DROPPED_KEPT: usize = 1_000;
+/// A follower polls several times a second. One that was disconnected for longer than this number of drops
+/// receives the whole topic instead.
+pub(super) const MAX_TOMBSTONES: usize = 1_000;
 
-/// How many gaps are told apart; beyond that, the oldest ones count as one.
-pub(super) const GAPS_KEPT: usize = 16;
+/// The maximum number of separate gaps; beyond it, the two oldest gaps are merged.
+pub(super) const MAX_GAPS: usize = 16;
 
-/// What a topic that was read whole differs in from what was known of it.
+/// How a topic that was read in full differs from its cached contents.
 #[derive(Debug, Eq, PartialEq)]
-pub(crate) struct Reread {
-    /// Where the topic was known up to before.
-    pub(crate) known_to: Offset,
-    /// The records that are new to followers.
+pub(crate) struct ReplaceSummary {
+    /// The offset up to which the topic was cached before.
+    pub(crate) previous_end: Offset,
+    /// The number of records that are new to followers.
     pub(crate) changed: usize,
-    /// The keys that aren't there any more.
-    pub(crate) gone: usize,
+    /// The number of keys that no longer exist.
+    pub(crate) removed: usize,
 }
 
-/// One topic: the newest record of each key and the offset at which it stands.
+/// One topic: the newest record of each key, with its offset. A record without a value is a tombstone.
 #[derive(Debug, Default)]
 pub(super) struct TopicFeed {
     next: u64,
     newest: IndexMap<String, (u64, Option<Vec<u8>>)>,
-    /// Drops before this offset are forgotten.
-    forgotten: u64,
-    /// The offsets that were passed over by reading the topic whole.
+    /// The offset from which the tombstones are complete.
+    tombstones_from: u64,
+    /// The offset ranges that were skipped by reading the topic in full.
     ///
-    /// A follower that comes from another node may stand inside of one. It may have keys that came and went
-    /// there, which this node never saw.
+    /// A follower that switches from another node may be at an offset within a gap. It may then have keys
+    /// that were written and dropped within the gap, which this node never saw.
     gaps: Vec<Range<u64>>,
 }
 
@@ -47,99 +47,100 @@
             .insert(key.clone(), (offset, record.value.clone()));
     }
 
-    /// Notes that the topic holds these records and no others.
-    pub(super) fn replace(&mut self, records: &[StoredRecord], end: Offset) -> Reread {
+    /// Replaces the contents with these records, whose topic ends at offset `end`.
+    pub(super) fn replace(&mut self, records: &[StoredRecord], end: Offset) -> ReplaceSummary {
         if end.0 < self.next {
-            // The store knows less than before, so nothing that was read of it can be built on.
+            // The store has lost records, so the cached contents are invalid.
             *self = Self::default();
         }
-        let known_to = Offset(self.next);
-        self.note_gap(end.0);
-        let gone = self.drop_missing(records, end.0);
-        let new = records.iter().filter(|stored| !self.has(stored));
+        let previous_end = Offset(self.next);
+        self.record_gap(end.0);
+        let removed = self.tombstone_missing(records, end.0);
+        let new = records.iter().filter(|stored| !self.contains(stored));
         let new: Vec<&StoredRecord> = new.collect();
         for stored in &new {
             self.put(stored.offset.0, &stored.record);
         }
         self.next = end.0;
-        self.forget();
-        Reread {
-            known_to,
+        self.prune();
+        ReplaceSummary {
+            previous_end,
             changed: new.len(),
-            gone,
+            removed,
         }
     }
 
-    fn note_gap(&mut self, end: u64) {
+    fn record_gap(&mut self, end: u64) {
         if self.next == 0 {
-            // What was dropped before isn't known here, so a follower that comes from another node with
-            // less than this needs all to see what is gone.
-            self.forgotten = end;
+            // Drops before this read are unknown, so a follower that switches from another node at an earlier
+            // offset needs the whole topic to see which keys were removed.
+            self.tombstones_from = end;
         } else if self.next < end {
             self.gaps.push(self.next..end);
         }
-        if self.gaps.len() > GAPS_KEPT {
+        if self.gaps.len() > MAX_GAPS {
             let oldest = self.gaps.remove(0);
             self.gaps[0].start = oldest.start;
         }
     }
 
-    /// Notes the drop of each key that isn't among the records; returns how many there are.
-    fn drop_missing(&mut self, records: &[StoredRecord], end: u64) -> usize {
-        // When they were dropped isn't known; no follower has it before it is here.
+    /// Replaces each key that isn't among the records with a tombstone. Returns the number of new tombstones.
+    fn tombstone_missing(&mut self, records: &[StoredRecord], end: u64) -> usize {
+        // The offsets of the drops are unknown. The last offset before `end` ensures that each follower that
+        // may still have the keys receives the tombstones.
         let offset = end.saturating_sub(1);
         let keys = records
             .iter()
             .filter_map(|stored| stored.record.key.as_deref());
-        let there: IndexSet<&str> = keys.collect();
-        let mut gone = 0;
+        let present: IndexSet<&str> = keys.collect();
+        let mut removed = 0;
         for (key, (at, value)) in &mut self.newest {
-            if value.is_some() && !there.contains(key.as_str()) {
+            if value.is_some() && !present.contains(key.as_str()) {
                 *value = None;
                 *at = offset;
-                gone += 1;
+                removed += 1;
             }
         }
-        gone
+        removed
     }
 
-    /// Returns whether a record is known.
+    /// Returns whether a record is cached at the same offset.
     ///
-    /// Only the offset tells: a key may have been dropped and have come back with the same value, and a follower
-    /// that saw the drop elsewhere has to hear of the return.
-    fn has(&self, stored: &StoredRecord) -> bool {
+    /// Comparing the values isn't enough: a key may have been dropped and written again with the same value,
+    /// and a follower that received the drop from another node has to receive the second write.
+    fn contains(&self, stored: &StoredRecord) -> bool {
         let key = stored.record.key.as_deref();
         let known = key.and_then(|key| self.newest.get(key));
         known.is_some_and(|(offset, value)| *offset == stored.offset.0 && value.is_some())
     }
 
-    /// Notes records that were read, of which the last stands before `next`.
+    /// Applies records that were read, the last of which precedes offset `next`.
     pub(super) fn apply(&mut self, records: &[Record], next: Offset) {
         let first = next.0.saturating_sub(records.len() as u64);
         for (offset, record) in (first..).zip(records) {
             self.put(offset, record);
         }
         self.next = next.0;
-        self.forget();
+        self.prune();
     }
 
-    fn forget(&mut self) {
+    fn prune(&mut self) {
         let dropped = self.newest.values().filter(|(_, value)| value.is_none());
         let mut offsets: Vec<u64> = dropped.map(|(offset, _)| *offset).collect();
-        if offsets.len() > DROPPED_KEPT {
+        if offsets.len() > MAX_TOMBSTONES {
             offsets.sort_unstable();
-            let until = offsets[offsets.len() - DROPPED_KEPT];
+            let oldest_kept = offsets[offsets.len() - MAX_TOMBSTONES];
             self.newest
-                .retain(|_, (offset, value)| value.is_some() || *offset >= until);
-            self.forgotten = until;
+                .retain(|_, (offset, value)| value.is_some() || *offset >= oldest_kept);
+            self.tombstones_from = oldest_kept;
         }
-        let forgotten = self.forgotten;
-        self.gaps.retain(|gap| gap.end > forgotten);
+        let tombstones_from = self.tombstones_from;
+        self.gaps.retain(|gap| gap.end > tombstones_from);
     }
 
-    /// Returns what a follower that knows the topic up to `from` doesn't have.
+    /// Returns what a follower whose next offset is `from` doesn't have.
     pub(super) fn part_from(&self, from: u64) -> TopicPart {
-        let whole = from == 0 || from < self.forgotten;
+        let whole = from == 0 || from < self.tombstones_from;
         let newer = self.newest.iter().filter(|(_, (offset, value))| {
             if whole {
                 value.is_some()
--- a/crates/sesamecart-entry/src/follower.rs
+++ b/crates/sesamecart-entry/src/follower.rs
@@ -1,10 +1,10 @@
-//! Follows what the operator, the endpoints and the other nodes write into the store.
+//! Follows the store's topics: the operator's configuration, the endpoint registry and the list of nodes.
 
-mod following;
 mod nodes;
 mod operator;
 mod peer;
 mod registry;
+mod source_follower;
 #[cfg(test)]
 mod tests;
 
@@ -18,58 +18,59 @@
 use crate::beliefs::Beliefs;
 use crate::clock;
 use crate::events::Event;
-pub(crate) use crate::follower::following::Following;
-use crate::follower::operator::OperatorPicture;
-use crate::follower::registry::RegistryPicture;
+use crate::follower::operator::OperatorState;
+use crate::follower::registry::RegistryState;
+pub(crate) use crate::follower::source_follower::Following;
 
-/// The part of the time in which a configuration has to be in force for which the store holds a read
-/// of the operator's topic that finds nothing.
+/// The long-poll timeout for reads of the operator topic, as a fraction of `bounds.configuration_ms`.
 ///
-/// A node's configuration is confirmed from when it sent the last read that came back, so in quiet
-/// times it gets as old as two waits and a rest.
-const OPERATOR_WAIT_PART: f64 = 0.4;
+/// The configuration's age is counted from the time at which the last completed read was sent. While nothing
+/// changes, the age therefore reaches two poll timeouts plus one read interval.
+const OPERATOR_POLL_TIMEOUT_FRACTION: f64 = 0.4;
 
-/// How long the store holds a read of the registry that finds nothing.
+/// The long-poll timeout for reads of the registry topic.
 ///
-/// A read that reaches the store while a record is being appended sees nothing and isn't woken for
-/// it, so the last record of a burst would be known on some nodes only with the next one. The end of
-/// the wait finds it. All nodes together may call the store so many times a second.
-const REGISTRY_WAIT: Duration = Duration::from_millis(1_000);
+/// A read that reaches the store while a record is being appended returns no records and isn't woken by that
+/// append. Without a timeout, some nodes would see the last record of a burst only when the next record
+/// arrives. The store limits the calls per second of all nodes together, so the timeout can't be much
+/// shorter.
+const REGISTRY_POLL_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// The same on the node that is forming groups, which opens them as soon as all members are ready.
-const FORMING_WAIT: Duration = Duration::from_millis(150);
+/// The registry poll timeout on a node that is forming groups: it opens each group as soon as all members are
+/// ready.
+const FORMING_POLL_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// The least time between two reads of a topic: a burst of records is read at once and not by a call for
-/// each.
-const PACE: Duration = Duration::from_millis(150);
+/// The minimum interval between two reads of a topic, so that one read returns a burst of records instead of
+/// one read for each record.
+const MIN_READ_INTERVAL: Duration = Duration::from_millis(150);
 
-/// The same on the node that is forming groups.
-const FORMING_PACE: Duration = Duration::from_millis(40);
+/// The minimum interval between two reads of the registry on a node that is forming groups.
+const FORMING_MIN_READ_INTERVAL: Duration = Duration::from_millis(40);
 
-/// How long a follower waits after a failed read.
+/// The delay before a failed read is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(150);
 
-/// A dependency whose loss and return are logged once each.
+/// The availability of a dependency. Its loss and its recovery are each logged once.
 #[derive(Debug)]
 pub(crate) struct Dependency {
     name: &'static str,
-    lost_at: Option<Timestamp>,
+    unavailable_since: Option<Timestamp>,
 }
 
 impl Dependency {
     pub(crate) const fn new(name: &'static str) -> Self {
         Self {
             name,
-            lost_at: None,
+            unavailable_since: None,
         }
     }
 
     pub(crate) fn failed(&mut self, beliefs: &Beliefs, cause: &StoreError) {
         beliefs.metrics.count_store_failure();
-        if self.lost_at.is_some() {
+        if self.unavailable_since.is_some() {
             return;
         }
-        self.lost_at = Some(clock::now());
+        self.unavailable_since = Some(clock::now());
         let cause = cause.to_string();
         beliefs.events.write(&Event::DependencyLost {
             dependency: self.name,
@@ -77,14 +78,14 @@
         });
     }
 
-    /// Notes an answer; returns whether the dependency was away.
+    /// Records a successful call. Returns whether the dependency was unavailable before it.
     pub(crate) fn answered(&mut self, beliefs: &Beliefs) -> bool {
-        let Some(lost_at) = self.lost_at.take() else {
+        let Some(unavailable_since) = self.unavailable_since.take() else {
             return false;
         };
         beliefs.events.write(&Event::DependencyRegained {
             dependency: self.name,
-            away_ms: millis(clock::now().since(lost_at)),
+            away_ms: millis(clock::now().since(unavailable_since)),
         });
         true
     }
@@ -94,49 +95,51 @@
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// What is kept of one topic.
-enum Picture<'a> {
-    Operator(&'a mut OperatorPicture),
-    Registry(&'a mut RegistryPicture),
+/// The state that is maintained from one topic's records.
+enum TopicState<'a> {
+    Operator(&'a mut OperatorState),
+    Registry(&'a mut RegistryState),
 }
 
-/// Follows one topic of the store with a newest record for each key.
-struct Follower<'a> {
+/// Follows one compacted topic of the store, which keeps the newest record of each key.
+struct TopicFollower<'a> {
     beliefs: &'a Beliefs,
     store: &'a Store,
     topic: Topic,
     dependency: &'a mut Dependency,
-    picture: Picture<'a>,
+    state: TopicState<'a>,
 }
 
-impl Follower<'_> {
-    /// Follows the topic; returns once the store has been away for `timeout`.
+impl TopicFollower<'_> {
+    /// Follows the topic until the store has been unavailable for longer than `timeout`.
     async fn run(mut self, timeout: Option<Duration>) {
         loop {
-            match self.read_newest().await {
+            match self.read_snapshot().await {
                 Ok(from) => self.follow(from, timeout).await,
                 Err(error) => {
                     self.dependency.failed(self.beliefs, &error);
                     sleep(RETRY_DELAY).await;
                 }
             }
-            if self.is_away_for(timeout) {
+            if self.is_unavailable_for(timeout) {
                 return;
             }
         }
     }
 
-    fn is_away_for(&self, timeout: Option<Duration>) -> bool {
-        let lost_at = self.dependency.lost_at;
-        let away = lost_at.map(|at| clock::now().since(at));
-        away.zip(timeout).is_some_and(|(away, limit)| away > limit)
+    fn is_unavailable_for(&self, timeout: Option<Duration>) -> bool {
+        let unavailable_since = self.dependency.unavailable_since;
+        let outage = unavailable_since.map(|at| clock::now().since(at));
+        outage
+            .zip(timeout)
+            .is_some_and(|(outage, limit)| outage > limit)
     }
 
-    /// Reads the newest record of each key and returns where to go on.
+    /// Reads the newest record of each key and returns the offset from which to follow the topic.
     ///
-    /// Pages aren't of one moment; the records from the first page's end on are read again, which
-    /// brings what changed between them.
-    async fn read_newest(&mut self) -> Result<Offset, StoreError> {
+    /// The pages aren't a consistent snapshot. The returned offset is the topic's end at the first page, so
+    /// following from it rereads every change made between the pages.
+    async fn read_snapshot(&mut self) -> Result<Offset, StoreError> {
         let sent = clock::now();
         let first = self.store.newest(self.topic, None).await?;
         let mut records = first.records;
@@ -146,30 +149,30 @@
             records.extend(page.records);
             next = page.next;
         }
-        let was_away = self.dependency.answered(self.beliefs);
-        if was_away {
-            self.beliefs.feed.note_return(clock::now());
+        let was_unavailable = self.dependency.answered(self.beliefs);
+        if was_unavailable {
+            self.beliefs.feed.record_recovery(clock::now());
         }
-        self.pass_on_whole(&records, first.end);
+        self.publish_snapshot(&records, first.end);
         let records = records.into_iter().map(|stored| stored.record);
-        self.replace(records.collect(), was_away);
+        self.replace(records.collect(), was_unavailable);
         self.confirm_freshness(sent);
         Ok(first.end)
     }
 
-    /// Reads what comes after `from` until the topic's history has to be read anew.
+    /// Reads records starting at `from` until the topic has to be reread in full.
     async fn follow(&mut self, mut from: Offset, timeout: Option<Duration>) {
         loop {
-            let (wait, pace) = self.rhythm();
+            let (poll_timeout, interval) = self.read_timing();
             let sent = clock::now();
-            match self.store.read(self.topic, from, wait).await {
+            match self.store.read(self.topic, from, poll_timeout).await {
                 Ok(Read::Records { next, end, records }) => {
-                    let was_away = self.dependency.answered(self.beliefs);
+                    let was_unavailable = self.dependency.answered(self.beliefs);
                     if end < from {
                         return;
                     }
-                    if was_away {
-                        self.note_return();
+                    if was_unavailable {
+                        self.record_recovery();
                     }
                     self.beliefs.feed.apply(self.topic, &records, next);
                     self.apply(records);
@@ -182,78 +185,84 @@
                 Err(error) => {
                     self.dependency.failed(self.beliefs, &error);
                     sleep(RETRY_DELAY).await;
-                    if self.is_away_for(timeout) {
+                    if self.is_unavailable_for(timeout) {
                         return;
                     }
                 }
             }
-            sleep(pace).await;
+            sleep(interval).await;
         }
     }
 
-    /// Returns how long the store may hold a read, and the rest before the next one.
-    fn rhythm(&self) -> (Duration, Duration) {
-        let bound = Duration::from_millis(self.beliefs.settings.bounds.configuration_ms);
-        match self.picture {
-            Picture::Operator(_) => (bound.mul_f64(OPERATOR_WAIT_PART), PACE),
-            Picture::Registry(_) if self.beliefs.is_forming() => (FORMING_WAIT, FORMING_PACE),
-            Picture::Registry(_) => (REGISTRY_WAIT, PACE),
+    /// Returns the long-poll timeout of the next read and the interval after it.
+    fn read_timing(&self) -> (Duration, Duration) {
+        let configuration_bound =
+            Duration::from_millis(self.beliefs.settings.bounds.configuration_ms);
+        match self.state {
+            TopicState::Operator(_) => (
+                configuration_bound.mul_f64(OPERATOR_POLL_TIMEOUT_FRACTION),
+                MIN_READ_INTERVAL,
+            ),
+            TopicState::Registry(_) if self.beliefs.is_forming() => {
+                (FORMING_POLL_TIMEOUT, FORMING_MIN_READ_INTERVAL)
+            }
+            TopicState::Registry(_) => (REGISTRY_POLL_TIMEOUT, MIN_READ_INTERVAL),
         }
     }
 
-    fn pass_on_whole(&self, records: &[StoredRecord], end: Offset) {
-        let Some(reread) = self.beliefs.feed.replace(self.topic, records, end) else {
+    fn publish_snapshot(&self, records: &[StoredRecord], end: Offset) {
+        let Some(summary) = self.beliefs.feed.replace(self.topic, records, end) else {
             return;
         };
         self.beliefs.events.write(&Event::TopicReread {
             topic: &self.topic.to_string(),
-            known_to: reread.known_to.0,
+            known_to: summary.previous_end.0,
             end: end.0,
             records: records.len(),
-            changed: reread.changed,
-            gone: reread.gone,
+            changed: summary.changed,
+            gone: summary.removed,
         });
     }
 
-    fn replace(&mut self, records: Vec<Record>, was_away: bool) {
-        match &mut self.picture {
-            Picture::Operator(picture) => {
-                picture.replace(self.beliefs, &records, &IndexSet::new());
+    fn replace(&mut self, records: Vec<Record>, was_unavailable: bool) {
+        match &mut self.state {
+            TopicState::Operator(state) => {
+                state.replace(self.beliefs, &records, &IndexSet::new());
             }
-            Picture::Registry(picture) => {
-                if was_away {
-                    picture.returned_at = Some(clock::now());
+            TopicState::Registry(state) => {
+                if was_unavailable {
+                    state.recovered_at = Some(clock::now());
                 }
-                picture.replace(self.beliefs, &records, &IndexSet::new());
+                state.replace(self.beliefs, &records, &IndexSet::new());
             }
         }
     }
 
     fn apply(&mut self, records: Vec<Record>) {
-        match &mut self.picture {
-            Picture::Operator(picture) => picture.apply(self.beliefs, &records),
-            Picture::Registry(picture) => picture.apply(self.beliefs, &records),
+        match &mut self.state {
+            TopicState::Operator(state) => state.apply(self.beliefs, &records),
+            TopicState::Registry(state) => state.apply(self.beliefs, &records),
         }
     }
 
-    fn note_return(&mut self) {
-        self.beliefs.feed.note_return(clock::now());
-        if let Picture::Registry(picture) = &mut self.picture {
-            picture.returned_at = Some(clock::now());
+    fn record_recovery(&mut self) {
+        self.beliefs.feed.record_recovery(clock::now());
+        if let TopicState::Registry(state) = &mut self.state {
+            state.recovered_at = Some(clock::now());
         }
     }
 
     fn confirm_freshness(&self, sent: Timestamp) {
-        match &self.picture {
-            // A picture without a configuration confirms nothing.
-            Picture::Operator(_) if self.beliefs.catalog.load().is_none() => {}
-            Picture::Operator(_) => self.beliefs.confirm_freshness(sent),
-            Picture::Registry(_) => self.beliefs.note_registry_read(),
+        match &self.state {
+            // Without a configuration there is nothing whose freshness could be confirmed.
+            TopicState::Operator(_) if self.beliefs.catalog.load().is_none() => {}
+            TopicState::Operator(_) => self.beliefs.confirm_freshness(sent),
+            TopicState::Registry(_) => self.beliefs.note_registry_read(),
         }
     }
 }
 
-fn ignore(beliefs: &Beliefs, topic: Topic, key: &str, cause: &str) {
+fn log_ignored_record(beliefs: &Beliefs, topic: Topic, key: &str, cause: &str) {
     let topic = topic.to_string();
     beliefs.events.write(&Event::RecordIgnored {
         topic: &topic,
--- a/crates/sesamecart-entry/src/follower/nodes.rs
+++ b/crates/sesamecart-entry/src/follower/nodes.rs
@@ -1,4 +1,4 @@
-//! Which other nodes there are.
+//! The list of nodes: registers this node and follows the entries of the others.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,27 +9,27 @@
 use sesamecart_runtime::sleep;
 use sesamecart_vocabulary::NodeId;
 
-use super::{Dependency, RETRY_DELAY, ignore};
+use super::{Dependency, RETRY_DELAY, log_ignored_record};
 use crate::beliefs::Beliefs;
 
 #[cfg(test)]
 mod tests;
 
-/// How often the list of nodes is read.
-const NODES_EVERY: Duration = Duration::from_secs(10);
+/// The interval between two reads of the list of nodes.
+const NODES_READ_INTERVAL: Duration = Duration::from_secs(10);
 
-/// How long a node of a deployment that starts waits for the others to tell of themselves: they all
-/// start at about once, and the store takes a few milliseconds for each.
+/// How long a node waits for the other nodes to register when a deployment starts for the first time. All
+/// nodes start at about the same time, and the store takes a few milliseconds for each registration.
 ///
-/// Without the wait each node knows nobody but itself, takes itself for the one that reads the store,
-/// and does so for seconds.
-const OTHERS_START: Duration = Duration::from_millis(800);
+/// Without this wait, each node would know only itself, assume that it is the reader, and read the store for
+/// several seconds.
+const PEER_REGISTRATION_WAIT: Duration = Duration::from_millis(800);
 
-/// How soon the list is read again by a node that reads the store since a moment ago: nodes that told
-/// of themselves late may read it in its place.
-const NODES_AGAIN: Duration = Duration::from_secs(1);
+/// The delay of the next read of the list on a node that has just begun to read the store: a node that
+/// registered late may be the one that should read the store instead.
+const FIRST_REREAD_DELAY: Duration = Duration::from_secs(1);
 
-/// What a node tells the others of itself, and what it reads of them in the store.
+/// Registers this node in the store's nodes topic and reads the entries of the other nodes.
 pub(super) struct NodesTopic {
     dependency: Dependency,
 }
@@ -41,43 +41,43 @@
         }
     }
 
-    /// Tells the other nodes of this one, and learns who there is.
+    /// Registers this node and reads the list of nodes.
     pub(super) async fn register(&mut self, beliefs: &Beliefs, store: &Store) {
         let own = beliefs.own_entry();
         if beliefs.settings.first_start {
-            // Nobody can have been here before, so there is nothing to read yet.
-            while !self.tell(beliefs, store, &own).await {
+            // No node can have registered before the first start, so there is nothing to read yet.
+            while !self.publish_entry(beliefs, store, &own).await {
                 sleep(RETRY_DELAY).await;
             }
-            sleep(OTHERS_START).await;
+            sleep(PEER_REGISTRATION_WAIT).await;
             let _nodes = self.read(beliefs, store).await;
             return;
         }
         loop {
             match self.read(beliefs, store).await {
-                // This node was here before its process started again.
+                // The entry from before this process restarted is still valid.
                 Some(nodes) if nodes.contains(&own) => return,
-                Some(_) if self.tell(beliefs, store, &own).await => return,
+                Some(_) if self.publish_entry(beliefs, store, &own).await => return,
                 _ => sleep(RETRY_DELAY).await,
             }
         }
     }
 
-    /// Reads again and again who there is.
+    /// Reads the list of nodes periodically.
     ///
-    /// Bounds that hold for all nodes together are kept by shares, for which a node has to know how
-    /// many there are. A node that was killed stays in the list, which makes the shares smaller, never
+    /// Limits that apply to all nodes together are divided among the nodes, so each node has to know their
+    /// number. A node that was killed stays in the list, which can make the shares only smaller, never
     /// larger.
     pub(super) async fn run(&mut self, beliefs: &Beliefs, store: &Store) {
-        // Those that follow this node are served once it has all topics.
-        let mut next = match beliefs.feed.has(Topic::Nodes) {
-            true => NODES_AGAIN,
+        // This node serves its followers only after it has read all topics.
+        let mut next = match beliefs.feed.has_read(Topic::Nodes) {
+            true => FIRST_REREAD_DELAY,
             false => Duration::ZERO,
         };
         loop {
             sleep(next).await;
             next = match self.read(beliefs, store).await {
-                Some(_) => NODES_EVERY,
+                Some(_) => NODES_READ_INTERVAL,
                 None => RETRY_DELAY,
             };
         }
@@ -86,8 +86,8 @@
     async fn read(&mut self, beliefs: &Beliefs, store: &Store) -> Option<Vec<PeerNode>> {
         match read_nodes(store).await {
             Ok(page) => {
-                let _was_away = self.dependency.answered(beliefs);
-                let _reread = beliefs.feed.replace(Topic::Nodes, &page.records, page.end);
+                let _was_unavailable = self.dependency.answered(beliefs);
+                let _summary = beliefs.feed.replace(Topic::Nodes, &page.records, page.end);
                 let records = page.records.into_iter().map(|stored| stored.record);
                 let records: Vec<Record> = records.collect();
                 Some(replace_nodes(beliefs, &records, &IndexSet::new()))
@@ -99,11 +99,11 @@
         }
     }
 
-    async fn tell(&mut self, beliefs: &Beliefs, store: &Store, own: &PeerNode) -> bool {
+    async fn publish_entry(&mut self, beliefs: &Beliefs, store: &Store, own: &PeerNode) -> bool {
         let value = match serde_json::to_vec(own) {
             Ok(value) => value,
             Err(error) => {
-                log::error!("follower: this node's entry can't be written: {error}.");
+                log::error!("follower: cannot serialize this node's entry: {error}.");
                 return false;
             }
         };
@@ -121,8 +121,8 @@
     }
 }
 
-/// Takes all of the list in: the records, and the nodes besides whose records haven't changed. Returns the nodes
-/// that the records tell of.
+/// Replaces the list with `records` and with the known nodes whose keys are in `unchanged`. Returns the nodes
+/// decoded from `records`.
 pub(super) fn replace_nodes(
     beliefs: &Beliefs,
     records: &[Record],
@@ -131,7 +131,7 @@
     merge(beliefs, records, |node| unchanged.contains(node.as_str()))
 }
 
-/// Takes in what has changed of the list.
+/// Applies changed records to the list.
 pub(super) fn apply_nodes(beliefs: &Beliefs, records: &[Record]) {
     let changed: IndexSet<&str> = records
         .iter()
@@ -145,16 +145,16 @@
     records: &[Record],
     is_kept: impl Fn(&NodeId) -> bool,
 ) -> Vec<PeerNode> {
-    let named = decode_nodes(beliefs, records);
+    let decoded = decode_nodes(beliefs, records);
     let known = beliefs.nodes.load();
     let kept = known.iter().filter(|peer| is_kept(&peer.node));
     let own = beliefs.own_entry();
-    let all = kept.chain(&named).chain([&own]);
+    let all = kept.chain(&decoded).chain([&own]);
     let mut nodes: IndexMap<&NodeId, &PeerNode> = all.map(|peer| (&peer.node, peer)).collect();
     nodes.sort_unstable_keys();
     let nodes = nodes.into_values().cloned().collect();
     beliefs.nodes.store(Arc::new(nodes));
-    named
+    decoded
 }
 
 fn decode_nodes(beliefs: &Beliefs, records: &[Record]) -> Vec<PeerNode> {
@@ -165,7 +165,7 @@
         };
         match serde_json::from_slice::<PeerNode>(value) {
             Ok(peer) => nodes.push(peer),
-            Err(error) => ignore(beliefs, Topic::Nodes, key, &error.to_string()),
+            Err(error) => log_ignored_record(beliefs, Topic::Nodes, key, &error.to_string()),
         }
     }
     nodes
--- a/crates/sesamecart-entry/src/follower/nodes/tests.rs
+++ b/crates/sesamecart-entry/src/follower/nodes/tests.rs
@@ -1,4 +1,4 @@
-//! Which nodes a follower knows.
+//! Tests of how a follower updates its list of nodes.
 
 use sesamecart_links::feed::{FollowRequest, KeyedRecord, TopicPart, UnchangedKeys};
 use sesamecart_platform::{Offset, Record, StoredRecord, Topic};
@@ -6,7 +6,7 @@
 
 use crate::beliefs::Beliefs;
 use crate::feed::Feed;
-use crate::follower::peer::take_nodes;
+use crate::follower::peer::update_nodes;
 use crate::testkit::beliefs;
 
 const NOW: Timestamp = Timestamp(10_000_000);
@@ -21,8 +21,8 @@
     }
 }
 
-/// Reads the list of nodes whole, as a node does that others follow.
-fn read_whole(feed: &Feed, nodes: &[&str]) {
+/// Replaces the feed's list of nodes, as a reader does after each read of the store.
+fn read_list(feed: &Feed, nodes: &[&str]) {
     let entries = nodes.iter().copied().map(entry);
     let entries = entries.zip(0..).map(|(record, offset)| StoredRecord {
         offset: Offset(offset),
@@ -30,19 +30,19 @@
     });
     let entries: Vec<StoredRecord> = entries.collect();
     let end = Offset(entries.len() as u64);
-    let _reread = feed.replace(Topic::Nodes, &entries, end);
+    let _summary = feed.replace(Topic::Nodes, &entries, end);
 }
 
-/// Follows a node whose list of nodes is known up to `next`; returns how far it is known then.
-fn follow(beliefs: &Beliefs, feed: &Feed, next: u64) -> u64 {
+/// Requests the changes of the list from offset `next`, applies them, and returns the next offset.
+fn sync_nodes(beliefs: &Beliefs, feed: &Feed, next: u64) -> u64 {
     let req = FollowRequest {
         nodes_next: next,
         ..FollowRequest::default()
     };
-    let reply = feed.newer(NOW, &req).expect("it serves");
-    let part = reply.nodes.expect("it has the list of nodes");
+    let reply = feed.reply_to(NOW, &req).expect("the feed is serving");
+    let part = reply.nodes.expect("the reply contains the list of nodes");
     let next = part.next;
-    take_nodes(beliefs, part);
+    update_nodes(beliefs, part);
     next
 }
 
@@ -51,30 +51,31 @@
     nodes.iter().map(|peer| peer.node.to_string()).collect()
 }
 
-/// Guards against shares of bounds that are counted for a few of the nodes once one is added.
+/// Guards against an update that replaces the list with only the added node: limits that all nodes share
+/// would then be divided among too few nodes.
 #[test]
-fn a_node_that_is_added_leaves_the_others_known() {
+fn adding_a_node_keeps_the_other_nodes() {
     let feed = Feed::new();
     for topic in [Topic::Operator, Topic::Registry] {
-        let _reread = feed.replace(topic, &[], Offset(0));
+        let _summary = feed.replace(topic, &[], Offset(0));
     }
-    read_whole(&feed, &["n1", "n2", "n3"]);
+    read_list(&feed, &["n1", "n2", "n3"]);
     let beliefs = beliefs(true);
-    let next = follow(&beliefs, &feed, 0);
+    let next = sync_nodes(&beliefs, &feed, 0);
     assert_eq!(known(&beliefs), ["n1", "n2", "n3"]);
-    read_whole(&feed, &["n1", "n2", "n3", "n4"]);
-    follow(&beliefs, &feed, next);
+    read_list(&feed, &["n1", "n2", "n3", "n4"]);
+    sync_nodes(&beliefs, &feed, next);
     assert_eq!(known(&beliefs), ["n1", "n2", "n3", "n4"]);
 }
 
-/// Guards against a node that is kept for ever though its entry was dropped.
+/// Guards against a node that stays in the list forever after its entry was dropped.
 #[test]
-fn nodes_that_are_neither_changed_nor_unchanged_are_gone() {
+fn nodes_neither_changed_nor_unchanged_are_removed() {
     let beliefs = beliefs(true);
     let records = |nodes: &[&str]| {
         let entries = nodes.iter().copied().map(entry);
         let records = entries.map(|record| KeyedRecord {
-            key: record.key.expect("it has one"),
+            key: record.key.expect("the record has a key"),
             value: record.value,
         });
         records.collect()
@@ -84,7 +85,7 @@
         whole: true,
         ..TopicPart::default()
     };
-    take_nodes(&beliefs, whole);
+    update_nodes(&beliefs, whole);
     let changed = TopicPart {
         records: records(&["n4"]),
         unchanged: Some(UnchangedKeys {
@@ -92,6 +93,6 @@
         }),
         ..TopicPart::default()
     };
-    take_nodes(&beliefs, changed);
+    update_nodes(&beliefs, changed);
     assert_eq!(known(&beliefs), ["n1", "n3", "n4"]);
 }
--- a/crates/sesamecart-entry/src/follower/operator.rs
+++ b/crates/sesamecart-entry/src/follower/operator.rs
@@ -1,4 +1,4 @@
-//! What the operator has written: the configuration, and the failure domains that get no new work.
+//! The operator topic: the configuration and the evacuated failure domains, which receive no new work.
 
 use std::sync::Arc;
 
@@ -9,17 +9,19 @@
 };
 use sesamecart_vocabulary::FailureDomainId;
 
-use super::ignore;
+use super::log_ignored_record;
 use crate::beliefs::Beliefs;
 use crate::events::Event;
 
+/// The failure domains that the operator has evacuated.
 #[derive(Default)]
-pub(super) struct OperatorPicture {
+pub(super) struct OperatorState {
     evacuated: IndexSet<FailureDomainId>,
 }
 
-impl OperatorPicture {
-    /// Takes all of the topic in: the records, and the keys besides whose records haven't changed.
+impl OperatorState {
+    /// Replaces the topic's contents with `records` and with the keys in `unchanged`, whose records this node
+    /// has.
     pub(super) fn replace(
         &mut self,
         beliefs: &Beliefs,
@@ -28,21 +30,21 @@
     ) {
         let changed = records.iter().filter(|record| record.value.is_some());
         let changed = changed.filter_map(|record| record.key.as_deref());
-        let there = unchanged.iter().map(String::as_str).chain(changed);
-        let evacuated: IndexSet<_> = there.filter_map(evacuated_domain).collect();
+        let present = unchanged.iter().map(String::as_str).chain(changed);
+        let evacuated: IndexSet<_> = present.filter_map(evacuated_domain).collect();
         if evacuated != self.evacuated {
             self.evacuated = evacuated;
             publish_evacuated(beliefs, &self.evacuated);
         }
         for record in records {
-            take_configuration(beliefs, record);
+            apply_configuration(beliefs, record);
         }
     }
 
     pub(super) fn apply(&mut self, beliefs: &Beliefs, records: &[Record]) {
         for record in records {
             let Some(key) = record.key.as_deref() else {
-                ignore(beliefs, Topic::Operator, "", "the key can't be read");
+                log_ignored_record(beliefs, Topic::Operator, "", "the key is unreadable");
                 continue;
             };
             if let Some(domain) = evacuated_domain(key) {
@@ -53,7 +55,7 @@
                 }
                 publish_evacuated(beliefs, &self.evacuated);
             } else {
-                take_configuration(beliefs, record);
+                apply_configuration(beliefs, record);
             }
         }
     }
@@ -72,9 +74,9 @@
     });
 }
 
-/// Puts a configuration in force, unless a newer one is: a reread or a slow answer must not bring
-/// back a key that was taken away.
-fn take_configuration(beliefs: &Beliefs, record: &Record) {
+/// Applies a configuration unless the current version is the same or newer: a reread or a delayed reply must
+/// not restore a revoked key.
+fn apply_configuration(beliefs: &Beliefs, record: &Record) {
     let (Some(key), Some(value)) = (record.key.as_deref(), record.value.as_deref()) else {
         return;
     };
@@ -83,7 +85,7 @@
     }
     let catalog = match decode_configuration(value) {
         Ok(catalog) => catalog,
-        Err(error) => return ignore(beliefs, Topic::Operator, key, &error.to_string()),
+        Err(error) => return log_ignored_record(beliefs, Topic::Operator, key, &error.to_string()),
     };
     let in_force = beliefs.catalog.load_full();
     let before = in_force.map(|catalog| catalog.version);
@@ -95,12 +97,12 @@
         before: before.map_or(0, |version| version.0),
         routes: catalog.route_count(),
     });
-    note_problems(beliefs, &catalog);
+    log_new_problems(beliefs, &catalog);
     beliefs.catalog.store(Some(Arc::new(catalog)));
 }
 
-/// Says what the operator should mend, where the configuration in force doesn't have the same fault.
-fn note_problems(beliefs: &Beliefs, catalog: &Catalog) {
+/// Logs the problems of `catalog` that the current configuration doesn't have.
+fn log_new_problems(beliefs: &Beliefs, catalog: &Catalog) {
     let in_force = beliefs.catalog.load_full();
     for (id, service) in &catalog.services {
         let Some(spec) = &service.engine else {
--- a/crates/sesamecart-entry/src/follower/peer.rs
+++ b/crates/sesamecart-entry/src/follower/peer.rs
@@ -1,4 +1,4 @@
-//! Follows another node, which reads the store.
+//! Follows another node that reads the store.
 
 use std::fmt::Display;
 use std::net::SocketAddr;
@@ -13,37 +13,39 @@
 use sesamecart_vocabulary::Timestamp;
 
 use super::RETRY_DELAY;
-use super::following::{Ended, Following, STAY};
 use super::nodes::{apply_nodes, replace_nodes};
+use super::source_follower::{Following, PREFERRED_PROBE_INTERVAL, SwitchReason};
 use crate::beliefs::Beliefs;
 use crate::clock;
 use crate::events::Event;
 use crate::losses::parse_group;
 
-/// How long the other node holds a call that finds nothing new.
+/// How long the other node holds a call while there are no updates.
 ///
-/// It bounds how old the configuration gets in quiet times: this, the age that the other node names,
-/// and the rest between two calls stay within the time in which a change has to be in force.
-const WAIT: Duration = Duration::from_millis(500);
+/// It bounds the configuration's age while nothing changes: the sum of this timeout, the age that the other
+/// node reports, and the interval between two calls stays below `bounds.configuration_ms`.
+const POLL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How much longer than that an answer may take before the other node counts as gone; the way there and
-/// back takes a few milliseconds, and a busy node some tens more.
-const ANSWER_SLACK: Duration = Duration::from_millis(350);
+/// How long after the poll timeout a reply may arrive before the other node is considered failed. A round
+/// trip takes a few milliseconds, and a busy node takes some tens of milliseconds more.
+const REPLY_GRACE: Duration = Duration::from_millis(350);
 
-/// How long the first answer may take once the other node has shown that it serves.
+/// The timeout of the first full reply, after the other node has answered a probe.
 ///
-/// It may hold all topics, and dozens of followers ask for them at once after a restart of all nodes. Given
-/// up sooner, the answers are sent for nothing, all start over elsewhere, and none ever gets through.
-const FIRST_ANSWER: Duration = Duration::from_secs(3);
+/// The reply may contain all topics, and dozens of followers request them at once after a restart of all
+/// nodes. With a shorter timeout, replies would be sent in vain, all followers would start over with another
+/// source, and none would ever catch up.
+const FIRST_REPLY_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The rest between two calls: a burst of changes is taken at once and not by a call for each.
-const PACE: Duration = Duration::from_millis(60);
+/// The minimum interval between two calls, so that one call returns a burst of changes instead of one call
+/// for each change.
+const MIN_CALL_INTERVAL: Duration = Duration::from_millis(60);
 
-/// How old the other node's own configuration may be before another source is tried, as a part of the
-/// time in which a change has to be in force; a node that reads the store is always younger.
-const STALE_PART: f64 = 0.9;
+/// The age of the other node's configuration above which another source is tried, as a fraction of
+/// `bounds.configuration_ms`. A node that reads the store always stays below it.
+const MAX_AGE_FRACTION: f64 = 0.9;
 
-/// How far this node is in each topic, and in the losses of the feed that it followed last.
+/// The next offset of each topic, and the next loss in the feed that was followed last.
 #[derive(Debug, Default)]
 pub(super) struct Position {
     operator: u64,
@@ -53,104 +55,112 @@
     losses: u64,
 }
 
-/// How long the other node may take for its first read of the store, as a part of the time in which a
-/// change has to be in force.
-const FIRST_READ_PART: f64 = 0.5;
+/// How long the other node may take for its first read of the store, as a fraction of
+/// `bounds.configuration_ms`.
+const FIRST_READ_TIMEOUT_FRACTION: f64 = 0.5;
 
-/// How long the other node may know less than this one before another source is tried: a reader that
-/// is a read behind the last source has caught up by then.
-const BEHIND_MOST: Duration = Duration::from_millis(1_000);
+/// How long the other node's offsets may be behind this node's before another source is tried. A reader that
+/// is one read behind the previous source catches up within this time.
+const LAG_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// How far a node is with another one that it has just begun to follow.
+/// The phases of following a node.
 #[derive(Clone, Copy)]
-enum FirstSteps {
-    /// It asks whether the other one serves.
+enum FollowPhase {
+    /// Ask whether the other node serves.
     Probe,
-    /// It asks for all that it doesn't have.
+    /// Request everything that this node doesn't have.
     CatchUp,
-    /// It waits for what is new.
-    Done,
+    /// Wait for updates.
+    Poll,
 }
 
-/// What came of a reply.
-enum Taken {
-    /// It is taken in.
-    News,
-    /// The other node knows less than this one does.
+/// The result of processing a reply.
+enum ReplyOutcome {
+    /// The reply was applied.
+    Applied,
+    /// The other node's offsets are behind this node's.
     Behind,
-    /// It lacks a part.
-    Broken,
+    /// The reply lacks a topic.
+    Incomplete,
 }
 
 impl Following {
-    /// Follows the node at `links` until it fails, is out of date, or another source goes before it.
-    pub(super) async fn follow_node(&mut self, links: SocketAddr) -> Ended {
-        let bound = Duration::from_millis(self.beliefs.settings.bounds.configuration_ms);
-        let stale = bound.mul_f64(STALE_PART);
-        let timeout = bound.mul_f64(FIRST_READ_PART);
-        let begun = clock::now();
-        let mut looked_at = begun;
+    /// Follows the node at `links` until it fails, becomes stale, or a preferred source serves again.
+    pub(super) async fn follow_node(&mut self, links: SocketAddr) -> SwitchReason {
+        let configuration_bound =
+            Duration::from_millis(self.beliefs.settings.bounds.configuration_ms);
+        let max_age = configuration_bound.mul_f64(MAX_AGE_FRACTION);
+        let first_read_timeout = configuration_bound.mul_f64(FIRST_READ_TIMEOUT_FRACTION);
+        let started_at = clock::now();
+        let mut probed_at = started_at;
         let mut behind_since = None;
-        // A small answer is asked for at first, which tells a node that is gone soon.
-        let mut step = FirstSteps::Probe;
+        // The first request is for a small reply, so that a dead node is detected early.
+        let mut phase = FollowPhase::Probe;
         loop {
             let sent = clock::now();
             let mut feed = self.links.feed_of(links);
-            let (request, limit) = match step {
-                FirstSteps::Probe => (Position::nothing_new(), ANSWER_SLACK),
-                FirstSteps::CatchUp => (self.position.request(Duration::ZERO), FIRST_ANSWER),
-                FirstSteps::Done => (self.position.request(WAIT), WAIT + ANSWER_SLACK),
+            let (request, reply_timeout) = match phase {
+                FollowPhase::Probe => (Position::probe_request(), REPLY_GRACE),
+                FollowPhase::CatchUp => {
+                    (self.position.request(Duration::ZERO), FIRST_REPLY_TIMEOUT)
+                }
+                FollowPhase::Poll => (
+                    self.position.request(POLL_TIMEOUT),
+                    POLL_TIMEOUT + REPLY_GRACE,
+                ),
             };
-            let reply = match within(limit, feed.follow(request)).await {
+            let reply = match within(reply_timeout, feed.follow(request)).await {
                 Ok(Ok(reply)) => reply.into_inner(),
                 Ok(Err(status)) if status.code() == Code::FailedPrecondition => {
-                    return Ended::Unready;
+                    return SwitchReason::Unready;
                 }
-                // A reader that has just started: were it left for the store, a standby would take
-                // control of the groups from it, with loads under way.
+                // The reader has just started and hasn't read the store yet. If a standby switched to the
+                // store now, it would take over control of the groups from the reader while models are
+                // loading.
                 Ok(Err(status))
-                    if status.code() == Code::NotFound && sent.since(begun) < timeout =>
+                    if status.code() == Code::NotFound
+                        && sent.since(started_at) < first_read_timeout =>
                 {
                     sleep(RETRY_DELAY).await;
                     continue;
                 }
-                Ok(Err(status)) => return failed(links, status),
-                Err(elapsed) => return failed(links, elapsed),
+                Ok(Err(status)) => return source_failed(links, status),
+                Err(elapsed) => return source_failed(links, elapsed),
             };
-            if matches!(step, FirstSteps::Probe) {
-                step = FirstSteps::CatchUp;
+            if matches!(phase, FollowPhase::Probe) {
+                phase = FollowPhase::CatchUp;
                 continue;
             }
-            let is_first = matches!(step, FirstSteps::CatchUp);
-            step = FirstSteps::Done;
+            let is_first = matches!(phase, FollowPhase::CatchUp);
+            phase = FollowPhase::Poll;
             let age = Duration::from_millis(reply.vouched_ms);
-            if age > stale {
-                return failed(links, format_args!("it is out of date: {age:?}"));
+            if age > max_age {
+                return source_failed(links, format_args!("the configuration is stale: {age:?}"));
             }
             if is_first {
                 self.log_caught_up(links, &reply);
             }
-            match self.take(sent, reply) {
-                Taken::News => behind_since = None,
-                Taken::Broken => return failed(links, "a topic is missing"),
-                Taken::Behind => {
+            match self.apply_reply(sent, reply) {
+                ReplyOutcome::Applied => behind_since = None,
+                ReplyOutcome::Incomplete => return source_failed(links, "the reply lacks a topic"),
+                ReplyOutcome::Behind => {
                     let since = *behind_since.get_or_insert(sent);
-                    if clock::now().since(since) > BEHIND_MOST {
-                        return failed(links, "it knows less than this node");
+                    if clock::now().since(since) > LAG_TIMEOUT {
+                        return source_failed(links, "its offsets are behind this node's");
                     }
                 }
             }
-            if clock::now().since(looked_at) >= STAY {
-                looked_at = clock::now();
-                if let Some(better) = self.better_than(Source::Node(links)).await {
-                    return Ended::Prefers(better);
+            if clock::now().since(probed_at) >= PREFERRED_PROBE_INTERVAL {
+                probed_at = clock::now();
+                if let Some(better) = self.find_better_source(Source::Node(links)).await {
+                    return SwitchReason::FoundBetter(better);
                 }
             }
-            sleep(PACE).await;
+            sleep(MIN_CALL_INTERVAL).await;
         }
     }
 
-    /// Logs where this node is and what another one's first reply brings.
+    /// Logs this node's offsets and what another node's first reply contains.
     fn log_caught_up(&self, links: SocketAddr, reply: &FollowReply) {
         let (Some(operator), Some(registry)) = (&reply.operator, &reply.registry) else {
             return;
@@ -168,32 +178,33 @@
         });
     }
 
-    /// Takes a reply in, if it goes on where this node is.
-    fn take(&mut self, sent: Timestamp, reply: FollowReply) -> Taken {
+    /// Applies a reply unless its offsets are behind this node's.
+    fn apply_reply(&mut self, sent: Timestamp, reply: FollowReply) -> ReplyOutcome {
         let (Some(operator), Some(registry), Some(nodes)) =
             (reply.operator, reply.registry, reply.nodes)
         else {
-            return Taken::Broken;
+            return ReplyOutcome::Incomplete;
         };
         let position = &mut self.position;
         let is_behind = operator.next < position.operator || registry.next < position.registry;
         if is_behind {
-            return Taken::Behind;
+            return ReplyOutcome::Behind;
         }
         position.operator = operator.next;
         position.registry = registry.next;
         position.nodes = nodes.next;
         position.feed = reply.feed;
         position.losses = reply.losses_next;
-        if let Some(returned) = reply.returned_ms {
-            let returned = Duration::from_millis(returned);
-            self.registry.returned_at = Some(Timestamp(
+        if let Some(since_recovery) = reply.returned_ms {
+            let since_recovery = Duration::from_millis(since_recovery);
+            self.registry.recovered_at = Some(Timestamp(
                 sent.0
-                    .saturating_sub(u64::try_from(returned.as_micros()).unwrap_or(u64::MAX)),
+                    .saturating_sub(u64::try_from(since_recovery.as_micros()).unwrap_or(u64::MAX)),
             ));
         }
-        self.take_topics(operator, registry, nodes);
-        // The reply left after the call was sent, so the node's age is counted from there.
+        self.apply_topics(operator, registry, nodes);
+        // The reply was sent after the request, so subtracting the reported age from the request's time gives
+        // a safe lower bound.
         let age = Duration::from_millis(reply.vouched_ms);
         let age = u64::try_from(age.as_micros()).unwrap_or(u64::MAX);
         self.beliefs
@@ -202,53 +213,53 @@
         for group in &reply.losses {
             match parse_group(group) {
                 Some(key) => self.beliefs.lose_group(&key),
-                None => log::warn!("follower: {group} is no group."),
+                None => log::warn!("follower: invalid group in a loss: {group}."),
             }
         }
-        Taken::News
+        ReplyOutcome::Applied
     }
 
-    fn take_topics(&mut self, operator: TopicPart, registry: TopicPart, nodes: TopicPart) {
+    fn apply_topics(&mut self, operator: TopicPart, registry: TopicPart, nodes: TopicPart) {
         let beliefs = &self.beliefs;
         match TopicUpdate::from(operator) {
-            TopicUpdate::All { records, unchanged } => {
+            TopicUpdate::Snapshot { records, unchanged } => {
                 self.operator.replace(beliefs, &records, &unchanged);
             }
-            TopicUpdate::Changed(records) if records.is_empty() => {}
-            TopicUpdate::Changed(records) => self.operator.apply(beliefs, &records),
+            TopicUpdate::Delta(records) if records.is_empty() => {}
+            TopicUpdate::Delta(records) => self.operator.apply(beliefs, &records),
         }
         match TopicUpdate::from(registry) {
-            TopicUpdate::All { records, unchanged } => {
+            TopicUpdate::Snapshot { records, unchanged } => {
                 self.registry.replace(beliefs, &records, &unchanged);
             }
-            TopicUpdate::Changed(records) if records.is_empty() => {}
-            TopicUpdate::Changed(records) => self.registry.apply(beliefs, &records),
+            TopicUpdate::Delta(records) if records.is_empty() => {}
+            TopicUpdate::Delta(records) => self.registry.apply(beliefs, &records),
         }
-        take_nodes(beliefs, nodes);
+        update_nodes(beliefs, nodes);
     }
 }
 
-/// Takes in what another node sent of the list of nodes.
-pub(super) fn take_nodes(beliefs: &Beliefs, nodes: TopicPart) {
+/// Applies another node's update of the list of nodes.
+pub(super) fn update_nodes(beliefs: &Beliefs, nodes: TopicPart) {
     match TopicUpdate::from(nodes) {
-        TopicUpdate::All { records, unchanged } => {
+        TopicUpdate::Snapshot { records, unchanged } => {
             let _nodes = replace_nodes(beliefs, &records, &unchanged);
         }
-        TopicUpdate::Changed(records) if records.is_empty() => {}
-        TopicUpdate::Changed(records) => apply_nodes(beliefs, &records),
+        TopicUpdate::Delta(records) if records.is_empty() => {}
+        TopicUpdate::Delta(records) => apply_nodes(beliefs, &records),
     }
 }
 
-/// What another node sent of a topic.
+/// Another node's update of a topic.
 enum TopicUpdate {
-    /// All that there is.
-    All {
+    /// All keys of the topic; other keys no longer exist.
+    Snapshot {
         records: Vec<Record>,
-        /// The other keys, whose records this node has.
+        /// The remaining keys, whose records this node already has.
         unchanged: IndexSet<String>,
     },
-    /// What has changed.
-    Changed(Vec<Record>),
+    /// Only the changed records.
+    Delta(Vec<Record>),
 }
 
 impl From<TopicPart> for TopicUpdate {
@@ -259,27 +270,27 @@
         });
         let records = records.collect();
         match part.unchanged {
-            Some(unchanged) => Self::All {
+            Some(unchanged) => Self::Snapshot {
                 records,
                 unchanged: unchanged.keys.into_iter().collect(),
             },
-            None if part.whole => Self::All {
+            None if part.whole => Self::Snapshot {
                 records,
                 unchanged: IndexSet::new(),
             },
-            None => Self::Changed(records),
+            None => Self::Delta(records),
         }
     }
 }
 
-fn failed(links: SocketAddr, cause: impl Display) -> Ended {
+fn source_failed(links: SocketAddr, cause: impl Display) -> SwitchReason {
     log::debug!("follower: node at {links}: {cause}.");
-    Ended::Failed
+    SwitchReason::Failed
 }
 
 impl Position {
-    /// Asks for nothing that a node may know, only whether it serves.
-    pub(super) const fn nothing_new() -> FollowRequest {
+    /// Returns a request that no record can match, to ask only whether a node serves.
+    pub(super) const fn probe_request() -> FollowRequest {
         FollowRequest {
             operator_next: u64::MAX,
             registry_next: u64::MAX,
--- a/crates/sesamecart-entry/src/follower/registry.rs
+++ b/crates/sesamecart-entry/src/follower/registry.rs
@@ -1,4 +1,4 @@
-//! What the endpoints say of themselves.
+//! The registry topic: the entries that endpoints publish about themselves.
 
 use std::time::Duration;
 
@@ -8,33 +8,38 @@
 use sesamecart_platform::{Record, Topic, decode_endpoint};
 use sesamecart_vocabulary::{EndpointId, ModelId, Timestamp};
 
-use super::ignore;
+use super::log_ignored_record;
 use crate::beliefs::Beliefs;
 use crate::clock;
 use crate::events::Event;
 
-/// How long entries that the store lost during an outage have to come back, less what a node takes to
-/// act on it: endpoints that live are back within about two seconds.
-const RETURN_TIME: Duration = Duration::from_millis(1_900);
+/// How long after an outage of the store a missing entry is kept before its endpoint is removed.
+///
+/// Running endpoints register again within about 2 s; this is that time minus what a node takes to act on the
+/// entry.
+const REREGISTRATION_GRACE: Duration = Duration::from_millis(1_900);
 
-pub(super) struct RegistryPicture {
+/// Applies the registry's records to the directory of endpoints.
+pub(super) struct RegistryState {
     changed: Sender<()>,
-    /// When the store came back after it was away.
-    pub(super) returned_at: Option<Timestamp>,
-    /// Endpoints whose entries were gone when it came back, and may come back themselves.
+    /// When the store became available again after an outage.
+    pub(super) recovered_at: Option<Timestamp>,
+    /// Endpoints whose entries were missing after the outage, with the time at which each is removed unless
+    /// it registers again.
     missing: IndexMap<EndpointId, Timestamp>,
 }
 
-impl RegistryPicture {
+impl RegistryState {
     pub(super) fn new(changed: Sender<()>) -> Self {
         Self {
             changed,
-            returned_at: None,
+            recovered_at: None,
             missing: IndexMap::new(),
         }
     }
 
-    /// Takes all of the topic in: the records, and the keys besides whose records haven't changed.
+    /// Replaces the topic's contents with `records` and with the keys in `unchanged`, whose records this node
+    /// has.
     pub(super) fn replace(
         &mut self,
         beliefs: &Beliefs,
@@ -43,22 +48,22 @@
     ) {
         let current = beliefs.directory.load();
         let changed = records.iter().filter_map(|record| record.key.as_deref());
-        let there: IndexSet<&str> = unchanged
+        let present: IndexSet<&str> = unchanged
             .iter()
             .map(String::as_str)
             .chain(changed)
             .collect();
-        let gone = current
+        let removed = current
             .listed_ids()
-            .filter(|id| !there.contains(id.as_str()));
-        let gone: Vec<Record> = gone
+            .filter(|id| !present.contains(id.as_str()));
+        let removed: Vec<Record> = removed
             .map(|id| Record {
                 key: Some(id.to_string()),
                 value: None,
             })
             .collect();
         drop(current);
-        let all: Vec<Record> = records.iter().cloned().chain(gone).collect();
+        let all: Vec<Record> = records.iter().cloned().chain(removed).collect();
         self.apply(beliefs, &all);
     }
 
@@ -68,20 +73,22 @@
         for record in records {
             self.apply_one(beliefs, &mut directory, now, record);
         }
-        let overdue = self.missing.extract_if(.., |_, until| *until <= now);
-        for (id, _) in overdue {
+        let expired = self
+            .missing
+            .extract_if(.., |_, remove_at| *remove_at <= now);
+        for (id, _) in expired {
             remove(beliefs, &mut directory, now, &id);
         }
         directory.forget(now);
         beliefs.tidy_groups(now, &directory);
         beliefs.directory.rcu(|current| {
-            // Evacuations are another follower's to change.
+            // The operator topic's follower may have changed the evacuations meanwhile.
             let mut directory = directory.clone();
             directory.set_evacuated(current.evacuated().clone());
             directory
         });
-        // A full channel holds a notice already.
-        let _told = self.changed.try_send(());
+        // A full channel already holds a notification.
+        let _sent = self.changed.try_send(());
     }
 
     fn apply_one(
@@ -92,13 +99,18 @@
         record: &Record,
     ) {
         let Some(key) = record.key.as_deref() else {
-            return ignore(beliefs, Topic::Registry, "", "the key can't be read");
+            return log_ignored_record(beliefs, Topic::Registry, "", "the key is unreadable");
         };
         let Ok(id) = key.parse::<EndpointId>() else {
-            return ignore(beliefs, Topic::Registry, key, "the key is no name");
+            return log_ignored_record(
+                beliefs,
+                Topic::Registry,
+                key,
+                "the key is not a valid endpoint name",
+            );
         };
         let Some(value) = record.value.as_deref() else {
-            return self.lapse(beliefs, directory, now, id);
+            return self.remove_or_defer(beliefs, directory, now, id);
         };
         match decode_endpoint(key, value) {
             Ok(endpoint) => {
@@ -107,24 +119,24 @@
                 directory.put(now, endpoint);
             }
             Err(error) => {
-                ignore(beliefs, Topic::Registry, key, &error.to_string());
+                log_ignored_record(beliefs, Topic::Registry, key, &error.to_string());
                 remove(beliefs, directory, now, &id);
             }
         }
     }
 
-    /// Takes an entry out, or waits a while for its return if the store was away.
-    fn lapse(
+    /// Removes an endpoint, or defers the removal if the store was unavailable recently.
+    fn remove_or_defer(
         &mut self,
         beliefs: &Beliefs,
         directory: &mut Directory,
         now: Timestamp,
         id: EndpointId,
     ) {
-        let until = self.returned_at.map(|at| at + RETURN_TIME);
-        match until {
-            Some(until) if until > now => {
-                self.missing.entry(id).or_insert(until);
+        let remove_at = self.recovered_at.map(|at| at + REREGISTRATION_GRACE);
+        match remove_at {
+            Some(remove_at) if remove_at > now => {
+                self.missing.entry(id).or_insert(remove_at);
             }
             _ => remove(beliefs, directory, now, &id),
         }
--- /dev/null
+++ b/crates/sesamecart-entry/src/follower/source_follower.rs
@@ -0,0 +1,239 @@
+//! Chooses between the store and the nodes that read it, and follows the chosen source.
+
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::Duration;
+
+use async_channel::Sender;
+use futures_lite::future;
+use futures_util::future::join;
+use sesamecart_fleet::{Role, Source, SourcePlan, SourceRotation, plan_sources};
+use sesamecart_links::Links;
+use sesamecart_platform::{Store, Topic};
+use sesamecart_runtime::{sleep, within};
+use sesamecart_vocabulary::Timestamp;
+
+use super::nodes::NodesTopic;
+use super::operator::OperatorState;
+use super::peer::Position;
+use super::registry::RegistryState;
+use super::{Dependency, RETRY_DELAY, TopicFollower, TopicState};
+use crate::beliefs::Beliefs;
+use crate::clock;
+use crate::events::Event;
+
+/// How long a node follows a source before it probes the sources that it prefers to it.
+///
+/// With a longer interval, more nodes than necessary call the store. With a shorter one, nodes switch often
+/// and reread all topics each time.
+pub(super) const PREFERRED_PROBE_INTERVAL: Duration = Duration::from_secs(4);
+
+/// The configuration age from which a follower may fall back to the store, as a fraction of
+/// `bounds.configuration_ms`.
+///
+/// When a deployment starts, no reader has read the store yet, and without this delay all followers would
+/// read the store at once.
+const STORE_FALLBACK_FRACTION: f64 = 0.5;
+
+/// The timeout for probing whether a source serves again.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
+
+/// How long the store may be unavailable before another source is tried; well below
+/// `bounds.configuration_ms`.
+const STORE_TIMEOUT: Duration = Duration::from_millis(500);
+
+/// How often a node that reads the store on behalf of another one checks whether the other one serves again.
+const STANDBY_CHECK_INTERVAL: Duration = Duration::from_secs(1);
+
+/// Follows all topics, from one source at a time.
+pub(crate) struct Following {
+    pub(super) beliefs: Arc<Beliefs>,
+    pub(super) store: Store,
+    pub(super) links: Links,
+    pub(super) operator: OperatorState,
+    pub(super) registry: RegistryState,
+    pub(super) position: Position,
+    nodes: NodesTopic,
+    operator_store: Dependency,
+    registry_store: Dependency,
+}
+
+impl Following {
+    /// Creates a follower that sends a notification to `changed` for each change of the registry.
+    pub(crate) fn new(
+        beliefs: Arc<Beliefs>,
+        store: Store,
+        links: Links,
+        changed: Sender<()>,
+    ) -> Self {
+        Self {
+            beliefs,
+            store,
+            links,
+            operator: OperatorState::default(),
+            registry: RegistryState::new(changed),
+            position: Position::default(),
+            nodes: NodesTopic::new(),
+            operator_store: Dependency::new("store, operator"),
+            registry_store: Dependency::new("store, registry"),
+        }
+    }
+
+    /// Follows one source after another until the task is dropped.
+    pub(crate) async fn run(mut self) {
+        self.nodes.register(&self.beliefs, &self.store).await;
+        let started_at = clock::now();
+        let mut rotation = SourceRotation::default();
+        let mut preferred = None;
+        loop {
+            let source = match preferred.take() {
+                Some(source) => source,
+                None => self.choose_source(started_at, &rotation),
+            };
+            rotation.begin(clock::now());
+            self.record_source(source);
+            let reason = match source {
+                Source::Store => self.read_store().await,
+                Source::Node(links) => self.follow_node(links).await,
+            };
+            match reason {
+                SwitchReason::FoundBetter(other) => preferred = Some(other),
+                SwitchReason::Failed => {
+                    rotation.fail(clock::now(), source);
+                    sleep(RETRY_DELAY).await;
+                }
+                SwitchReason::Unready => {
+                    rotation.fail_unready(clock::now(), source);
+                    sleep(RETRY_DELAY).await;
+                }
+            }
+        }
+    }
+
+    pub(super) fn plan(&self) -> SourcePlan {
+        plan_sources(&self.beliefs.settings.node, &self.beliefs.nodes.load())
+    }
+
+    /// Returns the most preferred source that hasn't been tried in the current round. A follower skips the
+    /// store until its configuration is old enough for the fallback.
+    fn choose_source(&self, started_at: Timestamp, rotation: &SourceRotation) -> Source {
+        let mut plan = self.plan();
+        let configuration_bound =
+            Duration::from_millis(self.beliefs.settings.bounds.configuration_ms);
+        let age = self.beliefs.configuration_age();
+        let age = age.unwrap_or_else(|| clock::now().since(started_at));
+        if plan.role == Role::Follower && age < configuration_bound.mul_f64(STORE_FALLBACK_FRACTION)
+        {
+            plan.order.retain(|source| *source != Source::Store);
+        }
+        rotation.choose(&plan.order)
+    }
+
+    fn record_source(&mut self, source: Source) {
+        let links = match source {
+            Source::Store => {
+                // This node now reads the topics itself, so offsets received from other nodes no longer
+                // apply.
+                self.position = Position::default();
+                None
+            }
+            Source::Node(links) => {
+                self.beliefs.feed.stop_serving();
+                Some(links)
+            }
+        };
+        self.beliefs.follow(links);
+        self.beliefs.events.write(&Event::SourceChanged {
+            source: &source.to_string(),
+        });
+    }
+
+    /// Reads the store until it has been unavailable for too long or this node should follow another node.
+    async fn read_store(&mut self) -> SwitchReason {
+        let has_others = self.plan().order.len() > 1;
+        let timeout = has_others.then_some(STORE_TIMEOUT);
+        let (beliefs, store) = (&*self.beliefs, &self.store);
+        let operator = TopicFollower {
+            beliefs,
+            store,
+            topic: Topic::Operator,
+            dependency: &mut self.operator_store,
+            state: TopicState::Operator(&mut self.operator),
+        };
+        let registry = TopicFollower {
+            beliefs,
+            store,
+            topic: Topic::Registry,
+            dependency: &mut self.registry_store,
+            state: TopicState::Registry(&mut self.registry),
+        };
+        let reads = join(registry.run(None), self.nodes.run(beliefs, store));
+        let failure = async {
+            future::or(operator.run(timeout), async {
+                reads.await;
+            })
+            .await;
+            SwitchReason::Failed
+        };
+        let preferred =
+            async { SwitchReason::FoundBetter(wait_for_preferred(beliefs, &self.links).await) };
+        future::or(failure, preferred).await
+    }
+
+    /// Returns a serving source that this node prefers to `source`.
+    pub(super) async fn find_better_source(&self, source: Source) -> Option<Source> {
+        let preferred = self.plan().home;
+        let better = preferred.into_iter().take_while(|known| *known != source);
+        for candidate in better {
+            let serves = match candidate {
+                Source::Store => {
+                    let read = self.store.newest(Topic::Nodes, None);
+                    matches!(within(PROBE_TIMEOUT, read).await, Ok(Ok(_)))
+                }
+                Source::Node(links) => is_serving(&self.links, links).await,
+            };
+            if serves {
+                return Some(candidate);
+            }
+        }
+        None
+    }
+}
+
+/// Why a node stops following a source.
+pub(super) enum SwitchReason {
+    /// The source doesn't respond or is stale.
+    Failed,
+    /// The source responds that it doesn't read the store.
+    Unready,
+    /// This other source is preferred and serves again.
+    FoundBetter(Source),
+}
+
+/// Waits until a preferred node serves, and returns it; pending for as long as there is none.
+async fn wait_for_preferred(beliefs: &Beliefs, links: &Links) -> Source {
+    sleep(PREFERRED_PROBE_INTERVAL).await;
+    loop {
+        let plan = plan_sources(&beliefs.settings.node, &beliefs.nodes.load());
+        for source in plan.home {
+            let Source::Node(address) = source else {
+                continue;
+            };
+            // A node that controls the groups keeps reading the store: while control moves, engines receive
+            // no orders for the length of a lease.
+            if !beliefs.controls() && is_serving(links, address).await {
+                return source;
+            }
+        }
+        sleep(STANDBY_CHECK_INTERVAL).await;
+    }
+}
+
+/// Returns whether a node serves followers.
+async fn is_serving(links: &Links, address: SocketAddr) -> bool {
+    let mut feed = links.feed_of(address);
+    matches!(
+        within(PROBE_TIMEOUT, feed.follow(Position::probe_request())).await,
+        Ok(Ok(_))
+    )
+}
--- a/crates/sesamecart-entry/src/follower/tests.rs
+++ b/crates/sesamecart-entry/src/follower/tests.rs
@@ -1,11 +1,11 @@
-//! What a node keeps of a topic that names only the keys of what hasn't changed.
+//! Tests of updates that list unchanged records only by key.
 
 use indexmap::IndexSet;
 use serde_json::json;
 use sesamecart_platform::Record;
 
-use super::operator::OperatorPicture;
-use super::registry::RegistryPicture;
+use super::operator::OperatorState;
+use super::registry::RegistryState;
 use crate::testkit::beliefs;
 
 fn record(key: &str, value: serde_json::Value) -> Record {
@@ -27,29 +27,30 @@
     keys.into_iter().map(str::to_owned).collect()
 }
 
-/// Guards against requests to an endpoint that is gone.
+/// Guards against routing requests to an endpoint that no longer exists.
 #[test]
-fn endpoints_that_are_neither_changed_nor_unchanged_are_gone() {
+fn endpoints_neither_changed_nor_unchanged_are_removed() {
     let beliefs = beliefs(true);
     let (changed, _changes) = async_channel::bounded(1);
-    let mut picture = RegistryPicture::new(changed);
+    let mut state = RegistryState::new(changed);
     let all = ["e1", "e2", "e3"].map(|id| endpoint(id, "ready"));
-    picture.replace(&beliefs, &all, &keys([]));
-    picture.replace(&beliefs, &[endpoint("e3", "draining")], &keys(["e1"]));
+    state.replace(&beliefs, &all, &keys([]));
+    state.replace(&beliefs, &[endpoint("e3", "draining")], &keys(["e1"]));
     let directory = beliefs.directory.load();
     let listed: Vec<&str> = directory.listed_ids().map(|id| id.as_str()).collect();
     assert_eq!(listed, ["e1", "e3"]);
 }
 
-/// Guards against a failure domain that stays evacuated, and against one that is forgotten.
+/// Guards against a failure domain that stays evacuated after its key was dropped, and against losing an
+/// evacuation whose key is unchanged.
 #[test]
-fn evacuations_that_are_neither_changed_nor_unchanged_are_taken_back() {
+fn evacuations_neither_changed_nor_unchanged_are_cleared() {
     let beliefs = beliefs(true);
-    let mut picture = OperatorPicture::default();
+    let mut state = OperatorState::default();
     let both = ["evacuate/a", "evacuate/b"].map(|key| record(key, json!({})));
-    picture.replace(&beliefs, &both, &keys([]));
+    state.replace(&beliefs, &both, &keys([]));
     let third = [record("evacuate/c", json!({}))];
-    picture.replace(&beliefs, &third, &keys(["evacuate/b", "config"]));
+    state.replace(&beliefs, &third, &keys(["evacuate/b", "config"]));
     let evacuated: IndexSet<String> = beliefs
         .evacuated()
         .iter()
