--- a/crates/sesamecart-entry/tests/whole_path/setup.rs
+++ b/crates/sesamecart-entry/tests/end_to_end/setup.rs
@@ -1,7 +1,7 @@
-//! A deployment of one node, a store, six engines and two plain endpoints, and a caller.
+//! Sets up a deployment of one node, a store, six engines and two plain endpoints, with a client.
 
 use std::net::SocketAddr;
-use std::path::Path as FilePath;
+use std::path::Path;
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
@@ -13,23 +13,23 @@
 use sesamecart_platform_standins::{Engine, EngineKind, EngineSetup, Store};
 use sesamecart_runtime::Worker;
 
-/// How long anything that has to come about is waited for; it bounds a hang and asserts no speed.
-const LIMIT: Duration = Duration::from_secs(30);
+/// The timeout for every awaited condition. It ends a test that hangs and doesn't check performance.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// How long a caller waits when a test doesn't say.
-pub(crate) const PATIENCE: Duration = Duration::from_secs(8);
+/// The deadline of a request for which a test specifies none.
+pub(crate) const DEFAULT_DEADLINE: Duration = Duration::from_secs(8);
 
-/// What is asked for.
+/// The kinds of requests that callers send.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(crate) enum Path {
+pub(crate) enum RequestKind {
     Stream,
-    /// A stream of a model that no fabric domain holds.
+    /// A stream of a model that needs more engines than any fabric domain has.
     HugeStream,
     Booking,
     Lookup,
 }
 
-impl Path {
+impl RequestKind {
     const fn model(self) -> Option<&'static str> {
         match self {
             Self::Stream => Some("m"),
@@ -39,18 +39,18 @@
     }
 }
 
-/// What a caller got.
+/// The response that a caller received.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub(crate) struct Answer {
-    /// 0 when the connection ended without a whole answer.
+pub(crate) struct Response {
+    /// The status code, or 0 if the connection ended without a complete response.
     pub(crate) status: u16,
     pub(crate) body: String,
     pub(crate) is_sealed: bool,
     pub(crate) retry_after: Option<String>,
 }
 
-impl Answer {
-    pub(crate) fn whole(status: u16, body: &str) -> Self {
+impl Response {
+    pub(crate) fn complete(status: u16, body: &str) -> Self {
         Self {
             status,
             body: body.to_owned(),
@@ -59,10 +59,10 @@
         }
     }
 
-    fn broken() -> Self {
+    fn aborted() -> Self {
         Self {
             is_sealed: false,
-            ..Self::whole(0, "")
+            ..Self::complete(0, "")
         }
     }
 }
@@ -76,7 +76,7 @@
     _worker: Worker,
 }
 
-/// The node with which a deployment starts; the others come during the day.
+/// The node with which a deployment starts for the first time; other nodes join later.
 const FIRST_NODE: &str = "n1";
 
 impl Deployment {
@@ -85,7 +85,7 @@
         Self::start_with(events, |_| {})
     }
 
-    /// The same, with engines that are prepared before the node starts.
+    /// Like [`Self::start`], but calls `prepare` with the engines before the node starts.
     pub(crate) fn start_with(events: u64, prepare: impl FnOnce(&[Engine])) -> Self {
         let store = Store::start().expect("the store listens");
         store.publish("config", &configuration(1, &["key-1", "key-2"]));
@@ -123,14 +123,17 @@
     }
 
     pub(crate) fn wait_until(&self, what: &str, done: impl Fn() -> bool) {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         while !done() {
-            assert!(begun.elapsed() < LIMIT, "{what} doesn't come about");
+            assert!(
+                started_at.elapsed() < WAIT_TIMEOUT,
+                "timed out waiting until {what}"
+            );
             std::thread::sleep(Duration::from_millis(20));
         }
     }
 
-    /// Waits for groups that the node has formed and routes to.
+    /// Waits until the node has formed `count` groups and routes to them.
     pub(crate) fn wait_for_groups(&self, count: usize) {
         self.wait_until("groups are open", || {
             let open = self.engines.iter().filter(|engine| engine.is_open_head());
@@ -138,13 +141,13 @@
         });
     }
 
-    /// Starts another node, which reaches the store at `store`, and returns once it is ready.
+    /// Starts another node, which connects to the store at `store`, and returns once it is ready.
     pub(crate) fn add_node(&self, node: &str, store: SocketAddr) -> Entry {
         self.add(settings(node, store))
     }
 
-    /// Starts another node that is slow to find its source out of date.
-    pub(crate) fn add_trusting_node(&self, node: &str, store: SocketAddr) -> Entry {
+    /// Starts another node with a longer `configuration_ms`, so that it considers its source stale later.
+    pub(crate) fn add_node_with_long_bound(&self, node: &str, store: SocketAddr) -> Entry {
         let mut settings = settings(node, store);
         settings.bounds.configuration_ms *= 3;
         self.add(settings)
@@ -155,7 +158,7 @@
         let names = (0..count).map(|index| format!("{failure_domain}-{index}"));
         let started = names.map(|name| {
             let settings = settings(&name, self.store.address());
-            let failure_domain = failure_domain.parse().expect("a name");
+            let failure_domain = failure_domain.parse().expect("a valid failure domain name");
             Entry::start(EntrySettings {
                 failure_domain,
                 ..settings
@@ -169,13 +172,14 @@
         started
     }
 
-    /// Starts another node with more of a processor than the first one, which reads the store for it.
-    pub(crate) fn add_strong_node(&self, node: &str, processor_share: f64) -> Entry {
-        self.add_strong_node_at(node, processor_share, self.store.address())
+    /// Starts another node. With a larger processor share than the first node's, it becomes the first node's
+    /// reader.
+    pub(crate) fn add_node_with_share(&self, node: &str, processor_share: f64) -> Entry {
+        self.add_node_with_share_at(node, processor_share, self.store.address())
     }
 
-    /// The same for a node that reaches the store at `store`.
-    pub(crate) fn add_strong_node_at(
+    /// Like [`Self::add_node_with_share`], for a node that connects to the store at `store`.
+    pub(crate) fn add_node_with_share_at(
         &self,
         node: &str,
         processor_share: f64,
@@ -204,7 +208,7 @@
         knows_evacuation(&self.node, failure_domain)
     }
 
-    /// Returns how often a booking or look-up was begun, over all endpoints.
+    /// Returns how often a booking or lookup was started, summed over all endpoints.
     pub(crate) fn runs(&self, request: &str) -> u32 {
         self.plain.iter().map(|plain| plain.runs(request)).sum()
     }
@@ -216,59 +220,65 @@
     pub(crate) fn readiness_of(&self, node: &Entry) -> u16 {
         let req = Request::get("/readiness").header("host", "node");
         let req = req.body(Full::default()).expect("it is valid");
-        self.send(node.readiness(), req, PATIENCE).status
+        self.send(node.readiness(), req, DEFAULT_DEADLINE).status
     }
 
-    pub(crate) fn ask(&self, path: Path, id: &str, key: &str) -> Answer {
-        self.ask_within(path, id, key, PATIENCE)
+    pub(crate) fn send_request(&self, kind: RequestKind, id: &str, key: &str) -> Response {
+        self.send_request_within(kind, id, key, DEFAULT_DEADLINE)
     }
 
-    pub(crate) fn ask_within(&self, path: Path, id: &str, key: &str, patience: Duration) -> Answer {
-        self.ask_node(&self.node, path, id, key, patience)
+    pub(crate) fn send_request_within(
+        &self,
+        kind: RequestKind,
+        id: &str,
+        key: &str,
+        deadline: Duration,
+    ) -> Response {
+        self.send_request_to(&self.node, kind, id, key, deadline)
     }
 
-    pub(crate) fn ask_node(
+    pub(crate) fn send_request_to(
         &self,
         node: &Entry,
-        path: Path,
+        kind: RequestKind,
         id: &str,
         key: &str,
-        patience: Duration,
-    ) -> Answer {
-        let prefix = match path {
-            Path::Stream | Path::HugeStream => "/chat/",
-            Path::Booking => "/book/",
-            Path::Lookup => "/look/",
+        deadline: Duration,
+    ) -> Response {
+        let prefix = match kind {
+            RequestKind::Stream | RequestKind::HugeStream => "/chat/",
+            RequestKind::Booking => "/book/",
+            RequestKind::Lookup => "/look/",
         };
         let mut req = Request::post(format!("{prefix}1"))
             .header("host", "shop.example")
             .header("request-id", id)
             .header("credential", key)
-            .header("deadline-ms", patience.as_millis().to_string());
-        if let Some(model) = path.model() {
+            .header("deadline-ms", deadline.as_millis().to_string());
+        if let Some(model) = kind.model() {
             req = req
                 .header("model-name", model)
                 .header("token-count", "10,80");
         }
         let req = req.body(Full::from("asked")).expect("it is valid");
-        self.send(node.callers(), req, LIMIT)
+        self.send(node.callers(), req, WAIT_TIMEOUT)
     }
 
-    fn send(&self, peer: SocketAddr, req: Request<Full<Bytes>>, limit: Duration) -> Answer {
+    fn send(&self, peer: SocketAddr, req: Request<Full<Bytes>>, timeout: Duration) -> Response {
         async_io::block_on(async {
-            let sent = self.caller.send(peer, req, Reuse::Never, limit).await;
+            let sent = self.caller.send(peer, req, Reuse::Never, timeout).await;
             let Ok(exchange) = sent else {
-                return Answer::broken();
+                return Response::aborted();
             };
             let (head, body) = exchange.response.into_parts();
             let Ok(body) = body.collect().await else {
-                return Answer::broken();
+                return Response::aborted();
             };
             let text = |headers: &HeaderMap, name: &str| {
                 let value = headers.get(name)?;
                 value.to_str().ok().map(str::to_owned)
             };
-            Answer {
+            Response {
                 status: head.status.as_u16(),
                 body: String::from_utf8_lossy(&body.to_bytes()).into_owned(),
                 is_sealed: head.headers.contains_key("response-seal"),
@@ -277,18 +287,20 @@
         })
     }
 
-    /// Lets the node leave as on a SIGTERM and returns the connections that it cut off.
-    pub(crate) fn leave(self) -> usize {
+    /// Shuts the node down as on a SIGTERM and returns the number of connections that it aborted.
+    pub(crate) fn shut_down(self) -> usize {
         let Self { node, store, .. } = self;
-        let (tell, told) = std::sync::mpsc::channel();
-        let leaving = std::thread::spawn(move || tell.send(async_io::block_on(node.leave())));
-        let cut_off = told.recv_timeout(LIMIT).expect("the node leaves in time");
-        leaving
+        let (tx, rx) = std::sync::mpsc::channel();
+        let shutdown = std::thread::spawn(move || tx.send(async_io::block_on(node.leave())));
+        let aborted = rx
+            .recv_timeout(WAIT_TIMEOUT)
+            .expect("the node shuts down in time");
+        shutdown
             .join()
-            .expect("leaving doesn't panic")
-            .expect("somebody listens");
+            .expect("the shutdown doesn't panic")
+            .expect("the receiver exists");
         drop(store);
-        cut_off
+        aborted
     }
 
     pub(crate) fn kill(self) {
@@ -324,7 +336,7 @@
             "lease_least_ms": 1_000,
         },
     });
-    let path = FilePath::new("settings.json");
+    let path = Path::new("settings.json");
     EntrySettings::parse(path, &text.to_string()).expect("the settings are valid")
 }
 
--- /dev/null
+++ b/crates/sesamecart-entry/tests/end_to_end/sources.rs
@@ -0,0 +1,66 @@
+//! Tests of nodes that switch between sources of the store's topics.
+
+use serde_json::json;
+use sesamecart_entry::Entry;
+
+use crate::setup::{Deployment, knows_evacuation};
+use crate::store_proxy::StoreProxy;
+
+/// The number of events in a complete stream.
+const EVENTS: u64 = 12;
+
+/// The operator topic's key that evacuates failure domain `b`.
+const KEY: &str = "evacuate/b";
+
+fn reads(node: &Entry) -> bool {
+    node.beliefs().reads_store()
+}
+
+fn knows(node: &Entry) -> bool {
+    knows_evacuation(node, "b")
+}
+
+/// Guards against routing requests to a failure domain that is evacuated a second time. The follower receives
+/// the second evacuation from a standby that has read the first one but not its withdrawal.
+#[test]
+fn a_follower_receives_a_second_evacuation_from_a_standby_that_read_the_first() {
+    let deployment = Deployment::start(EVENTS);
+    let to_reader = StoreProxy::start(deployment.store.address());
+    let to_follower = StoreProxy::start(deployment.store.address());
+    let reader = deployment.add_node_with_share_at("n2", 0.5, to_reader.address);
+    let standby = deployment.add_node_with_share("n3", 0.4);
+    // This node leaves the reader only after the standby has taken over, so it never reads the store itself.
+    let follower = deployment.add_node_with_long_bound("n4", to_follower.address);
+    let reader_reads = || reads(&reader) && !reads(&standby) && !reads(&follower);
+    deployment.wait_until("the reader reads the store", reader_reads);
+    to_follower.close();
+
+    to_reader.close();
+    deployment.store.publish(KEY, &json!({}));
+    deployment.wait_until("the standby reads the first evacuation", || {
+        reads(&standby) && knows(&standby) && knows(&follower)
+    });
+    to_reader.reopen();
+    deployment.wait_until("the reader reads the store again", reader_reads);
+    deployment.store.withdraw(KEY);
+    let nodes = [&reader, &standby, &follower];
+    deployment.wait_until("all nodes have cleared the evacuation", || {
+        let links = reader.beliefs().settings.links;
+        let is_followed = |node: &Entry| node.beliefs().followed() == Some(links);
+        is_followed(&standby) && is_followed(&follower) && !nodes.iter().any(|node| knows(node))
+    });
+
+    to_reader.stall();
+    deployment.store.publish(KEY, &json!({}));
+    deployment.wait_until("the standby reads the second evacuation", || {
+        reads(&standby) && knows(&standby)
+    });
+    deployment.wait_until("the follower receives the second evacuation", || {
+        knows(&follower)
+    });
+
+    for node in [reader, standby, follower] {
+        node.kill();
+    }
+    deployment.shut_down();
+}
--- a/crates/sesamecart-entry/tests/whole_path/gate.rs
+++ b/crates/sesamecart-entry/tests/end_to_end/store_proxy.rs
@@ -1,4 +1,4 @@
-//! The way from one node to the store, which can be shut or fall silent while others reach it.
+//! A proxy between one node and the store. It can be closed or stalled while other nodes reach the store.
 
 use std::io::{Read as _, Write as _};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -8,72 +8,72 @@
 /// Connections are forwarded.
 const OPEN: u8 = 0;
 
-/// No connection is taken.
-const SHUT: u8 = 1;
+/// New connections are dropped.
+const CLOSED: u8 = 1;
 
-/// What comes is swallowed, and no new connection is taken.
-const SILENT: u8 = 2;
+/// Received bytes are discarded, and new connections are dropped.
+const STALLED: u8 = 2;
 
-/// A forwarder on loopback.
-pub(crate) struct Gate {
+/// A TCP proxy on the loopback interface.
+pub(crate) struct StoreProxy {
     pub(crate) address: SocketAddr,
     mode: Arc<AtomicU8>,
     streams: Arc<Mutex<Vec<TcpStream>>>,
 }
 
-impl Gate {
-    /// Forwards connections to `to` until it is shut.
+impl StoreProxy {
+    /// Starts a proxy that forwards connections to `to`.
     pub(crate) fn start(to: SocketAddr) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
-        let gate = Self {
-            address: listener.local_addr().expect("it is bound"),
+        let proxy = Self {
+            address: listener.local_addr().expect("the listener is bound"),
             mode: Arc::new(AtomicU8::new(OPEN)),
             streams: Arc::default(),
         };
-        let (mode, streams) = (Arc::clone(&gate.mode), Arc::clone(&gate.streams));
+        let (mode, streams) = (Arc::clone(&proxy.mode), Arc::clone(&proxy.streams));
         std::thread::spawn(move || {
-            for near in listener.incoming().map_while(Result::ok) {
-                // A connection that is dropped at once is what a store that turns a node away does.
+            for client in listener.incoming().map_while(Result::ok) {
+                // A store that rejects a node also drops its connections at once.
                 if mode.load(Ordering::Acquire) != OPEN {
                     continue;
                 }
-                let Ok(far) = TcpStream::connect(to) else {
+                let Ok(upstream) = TcpStream::connect(to) else {
                     continue;
                 };
-                for (from, into) in [(&near, &far), (&far, &near)] {
-                    let from = from.try_clone().expect("a socket can be shared");
-                    let into = into.try_clone().expect("a socket can be shared");
+                for (from, into) in [(&client, &upstream), (&upstream, &client)] {
+                    let from = from.try_clone().expect("a socket can be cloned");
+                    let into = into.try_clone().expect("a socket can be cloned");
                     let mode = Arc::clone(&mode);
                     std::thread::spawn(move || forward(from, into, &mode));
                 }
                 let mut streams = streams.lock().unwrap_or_else(PoisonError::into_inner);
-                streams.extend([near, far]);
+                streams.extend([client, upstream]);
             }
         });
-        gate
+        proxy
     }
 
-    /// Cuts all connections and takes no new ones.
-    pub(crate) fn shut(&self) {
-        self.mode.store(SHUT, Ordering::Release);
-        self.cut();
+    /// Closes all connections and drops new ones.
+    pub(crate) fn close(&self) {
+        self.mode.store(CLOSED, Ordering::Release);
+        self.close_connections();
     }
 
-    /// Lets open connections hang, and takes no new ones.
-    pub(crate) fn silence(&self) {
-        self.mode.store(SILENT, Ordering::Release);
+    /// Stalls open connections and drops new ones.
+    pub(crate) fn stall(&self) {
+        self.mode.store(STALLED, Ordering::Release);
     }
 
-    /// Takes connections again.
+    /// Closes the stalled connections and forwards new ones again.
     pub(crate) fn reopen(&self) {
-        self.cut();
+        self.close_connections();
         self.mode.store(OPEN, Ordering::Release);
     }
 
-    fn cut(&self) {
+    fn close_connections(&self) {
         let mut streams = self.streams.lock().unwrap_or_else(PoisonError::into_inner);
         for stream in streams.drain(..) {
-            // One that has ended by itself can't be shut again.
+            // A connection that has already ended can't be shut down again.
             let _ended = stream.shutdown(Shutdown::Both);
         }
     }
@@ -82,7 +82,7 @@
 fn forward(mut from: TcpStream, mut into: TcpStream, mode: &AtomicU8) {
     let mut buf = [0; 16 * 1024];
     while let Ok(len @ 1..) = from.read(&mut buf) {
-        if mode.load(Ordering::Acquire) == SILENT {
+        if mode.load(Ordering::Acquire) == STALLED {
             continue;
         }
         if into.write_all(&buf[..len]).is_err() {
--- a/crates/sesamecart-entry/tests/pages.rs
+++ b/crates/sesamecart-entry/tests/pages.rs
@@ -1,4 +1,4 @@
-//! The pages for operators name what a node writes and exports.
+//! Checks that the operators' pages document all log events and metrics.
 
 use sesamecart_entry::Metrics;
 
@@ -6,13 +6,13 @@
 const METRICS: &str = include_str!("../../../docs/metrics.md");
 const EVENTS: &str = include_str!("../src/events.rs");
 
-/// Returns the names of the events, as the log writes them, with their fields.
+/// Returns the names of the events, as they are written to the log, with their fields.
 fn events() -> Vec<(String, Vec<String>)> {
     let start = EVENTS
         .find("pub enum Event<'a> {")
-        .expect("the events are there");
+        .expect("the file defines the events");
     let body = &EVENTS[start..];
-    let end = body.find("\n}").expect("they end");
+    let end = body.find("\n}").expect("the enum ends");
     let mut events: Vec<(String, Vec<String>)> = Vec::new();
     for line in body[..end].lines().skip(1) {
         if let Some(name) = line
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn every_event_and_field_stands_on_the_page_of_logs() {
+fn every_event_and_field_is_documented() {
     let events = events();
     assert!(events.len() > 20, "{events:?}");
     for (name, fields) in events {
@@ -60,16 +60,17 @@
 }
 
 #[test]
-fn every_metric_stands_on_the_page_of_metrics() {
-    let metrics = Metrics::new().expect("they can be set up");
-    let text = String::from_utf8(metrics.render().expect("they can be written")).expect("text");
+fn every_metric_is_documented() {
+    let metrics = Metrics::new().expect("the metrics register");
+    let text = String::from_utf8(metrics.render().expect("the metrics encode"))
+        .expect("the output is UTF-8");
     let types = text.lines().filter_map(|line| line.strip_prefix("# TYPE "));
     let names: Vec<&str> = types.filter_map(|line| line.split(' ').next()).collect();
     let own = names.iter().filter(|name| name.starts_with("sesamecart_"));
     assert_eq!(
         own.clone().count(),
         9,
-        "all counters are there from the start: {names:?}"
+        "all counters exist from the start: {names:?}"
     );
     for name in own {
         assert!(
