--- a/crates/sesamecart-entry/src/beliefs.rs
+++ b/crates/sesamecart-entry/src/beliefs.rs
@@ -1,4 +1,4 @@
-//! What a node knows: one picture for all its threads, with its age.
+//! The state that all threads of a node share, and the age of its configuration.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use arc_swap::{ArcSwap, ArcSwapOption};
-use event_listener::Event as Changed;
+use event_listener::Event as Notifier;
 use indexmap::IndexMap;
 use sesamecart_edges::Connections;
 use sesamecart_fleet::{
@@ -27,17 +27,17 @@
 #[cfg(test)]
 mod tests;
 
-/// What is kept of a key's revocation time for clocks that differ and for requests under way.
-const REVOCATION_MARGIN: Duration = Duration::from_millis(250);
+/// Subtracted from the key revocation bound, to allow for clock skew and requests in flight.
+const KEY_REVOCATION_MARGIN: Duration = Duration::from_millis(250);
 
-/// How long a group that was found lost is left alone; by then its head has given up and says so.
-const LOST_FOR: Duration = Duration::from_secs(6);
+/// How long a group stays marked as lost. By then its head has given up and reports this itself.
+const LOST_GROUP_TTL: Duration = Duration::from_secs(6);
 
-/// How long a report of a loss stands before the controller is told again: by then it has asked the
-/// members, or it never got the report.
-const REPORT_AGAIN: Duration = Duration::from_millis(800);
+/// Minimum time between two reports of the same lost group to the controller. By then the controller has
+/// probed the members, or the report didn't reach it.
+const LOSS_REPORT_INTERVAL: Duration = Duration::from_millis(800);
 
-/// What the threads of one node share.
+/// The state that the threads of one node share.
 #[derive(Debug)]
 pub struct Beliefs {
     /// The node's settings.
@@ -46,37 +46,37 @@
     pub events: EventLog,
     /// Counters and histograms.
     pub metrics: Metrics,
-    /// The callers' open connections.
+    /// Open connections of callers.
     pub connections: Connections,
     pub(crate) catalog: ArcSwapOption<Catalog>,
     pub(crate) directory: ArcSwap<Directory>,
     pub(crate) nodes: ArcSwap<Vec<PeerNode>>,
     pub(crate) feed: Feed,
-    /// Where the node that this one follows takes links; nothing while it reads the store itself.
-    followed: ArcSwapOption<SocketAddr>,
+    /// The address for links of the node that this node follows; `None` while it reads the store itself.
+    upstream: ArcSwapOption<SocketAddr>,
     reads_store: AtomicBool,
-    controls: AtomicBool,
+    is_controller: AtomicBool,
     pub(crate) loads: Mutex<LoadBook>,
     demand: Mutex<DemandBook>,
     first_events: Mutex<FirstEventTimeouts>,
-    /// Told of each request that is sent, begins to be answered or ends.
-    pub(crate) loads_changed: Changed,
+    /// Notified whenever a request is sent, starts to be answered or ends.
+    pub(crate) loads_changed: Notifier,
     confirmed_at: AtomicU64,
     registry_read: AtomicBool,
     leaving: AtomicBool,
     forming: AtomicBool,
     requests: AtomicUsize,
-    groups: Mutex<IndexMap<GroupKey, Watched>>,
-    reported: Mutex<IndexMap<GroupKey, Timestamp>>,
+    loss_signals: Mutex<IndexMap<GroupKey, LossSignal>>,
+    losses_reported: Mutex<IndexMap<GroupKey, Timestamp>>,
     retries: Mutex<IndexMap<ServiceId, RetryAllowance>>,
     cold: Mutex<IndexMap<EndpointId, ColdAllowance>>,
     contentions: Mutex<Contentions>,
 }
 
-/// A group that requests of this node depend on.
+/// Notifies the requests that depend on a group when the group is found lost.
 #[derive(Debug)]
-struct Watched {
-    lost: Signal,
+struct LossSignal {
+    signal: Signal,
     trigger: Trigger,
     lost_at: Option<Timestamp>,
 }
@@ -86,15 +86,15 @@
 }
 
 impl Beliefs {
-    /// Makes the beliefs of a node that knows nothing yet.
+    /// Creates the state of a node that has read nothing yet.
     #[must_use]
     pub fn new(settings: EntrySettings, events: EventLog, metrics: Metrics) -> Self {
         Self {
-            nodes: ArcSwap::from_pointee(vec![own_entry(&settings)]),
+            nodes: ArcSwap::from_pointee(vec![local_peer(&settings)]),
             feed: Feed::new(),
-            followed: ArcSwapOption::empty(),
+            upstream: ArcSwapOption::empty(),
             reads_store: AtomicBool::new(false),
-            controls: AtomicBool::new(false),
+            is_controller: AtomicBool::new(false),
             settings,
             events,
             metrics,
@@ -104,21 +104,21 @@
             loads: Mutex::default(),
             demand: Mutex::default(),
             first_events: Mutex::default(),
-            loads_changed: Changed::new(),
+            loads_changed: Notifier::new(),
             confirmed_at: AtomicU64::new(0),
             registry_read: AtomicBool::new(false),
             leaving: AtomicBool::new(false),
             forming: AtomicBool::new(false),
             requests: AtomicUsize::new(0),
-            groups: Mutex::default(),
-            reported: Mutex::default(),
+            loss_signals: Mutex::default(),
+            losses_reported: Mutex::default(),
             retries: Mutex::default(),
             cold: Mutex::default(),
             contentions: Mutex::default(),
         }
     }
 
-    /// Returns how many open groups this node may send to.
+    /// Returns the number of open groups that this node may send requests to.
     #[must_use]
     pub fn open_groups(&self) -> usize {
         let directory = self.directory.load();
@@ -128,19 +128,20 @@
         heads.filter(|head| directory.takes_work(head)).count()
     }
 
-    /// Returns how many requests other nodes say they have at the heads of groups.
+    /// Returns the number of requests that other nodes report to have in flight at the heads of groups.
     #[must_use]
     pub fn requests_elsewhere(&self) -> u32 {
         self.loads().peer_in_flight()
     }
 
-    /// Returns the groups of a model that the callers of all nodes keep busy, once that is known.
+    /// Returns the number of groups of a model that the callers of all nodes keep busy, or `None` while
+    /// there is no estimate yet.
     #[must_use]
     pub fn needed_groups(&self, model: &ModelId) -> Option<f64> {
         self.estimated_demand().map(|demand| demand.groups(model))
     }
 
-    /// Returns the failure domains that get no new work.
+    /// Returns the failure domains that are evacuated and get no new work.
     #[must_use]
     pub fn evacuated(&self) -> Vec<FailureDomainId> {
         let directory = self.directory.load();
@@ -151,40 +152,40 @@
         lock(&self.loads)
     }
 
-    /// Returns what callers ask of each model, as far as this node knows.
+    /// Returns the demand for each model that this node has recorded.
     pub(crate) fn demand(&self) -> MutexGuard<'_, DemandBook> {
         lock(&self.demand)
     }
 
-    /// Returns how long the first events of streams take and are waited for.
+    /// Returns the timeouts for the first events of streams, and the times that they are derived from.
     pub(crate) fn first_events(&self) -> MutexGuard<'_, FirstEventTimeouts> {
         lock(&self.first_events)
     }
 
-    /// Estimates what the callers of all nodes ask of each model.
+    /// Estimates the demand of the callers of all nodes for each model.
     pub(crate) fn estimated_demand(&self) -> Option<Demand> {
         let nodes = 1 + self.loads().others();
         self.demand().estimate(clock::now(), nodes)
     }
 
-    /// Notes that the configuration was complete at a read that was sent at `sent`.
+    /// Records that a read sent at `sent` showed the configuration to be complete.
     pub(crate) fn confirm_freshness(&self, sent: Timestamp) {
         self.confirmed_at.fetch_max(sent.0, Ordering::AcqRel);
     }
 
-    /// Returns the age of the configuration, by the clock that goes on through a suspension.
+    /// Returns the age of the configuration, by a clock that also advances while the machine is suspended.
     pub(crate) fn configuration_age(&self) -> Option<Duration> {
         self.freshness().age(clock::now())
     }
 
-    /// Returns whether callers with keys may be let in.
+    /// Returns whether the configuration is fresh enough to accept callers by their keys.
     pub(crate) fn is_confirmed_fresh(&self) -> bool {
         let bound = Duration::from_millis(self.settings.bounds.key_revocation_ms);
-        let limit = bound.saturating_sub(REVOCATION_MARGIN);
+        let limit = bound.saturating_sub(KEY_REVOCATION_MARGIN);
         self.freshness().is_confirmed_fresh(clock::now(), limit)
     }
 
-    /// Returns whether the configuration may miss a change that should be in force by now.
+    /// Returns whether the configuration may lack a change that must already be in force.
     pub(crate) fn is_outdated(&self) -> bool {
         let bound = Duration::from_millis(self.settings.bounds.configuration_ms);
         !self.freshness().is_confirmed_fresh(clock::now(), bound)
@@ -199,44 +200,45 @@
         freshness
     }
 
-    /// Returns what this node tells the others of itself.
+    /// Returns the record of this node that is published to the other nodes.
     pub(crate) fn own_entry(&self) -> PeerNode {
-        own_entry(&self.settings)
+        local_peer(&self.settings)
     }
 
-    /// Notes which node is followed; nothing while the store itself is read.
+    /// Sets the address for links of the node to follow, or `None` to read the store itself.
     pub(crate) fn follow(&self, links: Option<SocketAddr>) {
         self.reads_store.store(links.is_none(), Ordering::Release);
-        self.followed.store(links.map(Arc::new));
+        self.upstream.store(links.map(Arc::new));
     }
 
-    /// Returns whether this node reads the store itself; it doesn't before it has chosen its source.
+    /// Returns whether this node reads the store itself; false until it has chosen its source.
     #[must_use]
     pub fn reads_store(&self) -> bool {
         self.reads_store.load(Ordering::Acquire)
     }
 
-    /// Returns where the node that is followed takes links.
+    /// Returns the address for links of the node that this node follows.
     #[must_use]
     pub fn followed(&self) -> Option<SocketAddr> {
-        self.followed.load().as_deref().copied()
+        self.upstream.load().as_deref().copied()
     }
 
-    /// Notes whether this node controls the groups.
-    pub(crate) fn note_control(&self, controls: bool) {
-        self.controls.store(controls, Ordering::Release);
+    /// Sets whether this node controls the groups.
+    pub(crate) fn set_controller(&self, is_controller: bool) {
+        self.is_controller.store(is_controller, Ordering::Release);
     }
 
     /// Returns whether this node controls the groups.
     pub(crate) fn controls(&self) -> bool {
-        self.controls.load(Ordering::Acquire)
+        self.is_controller.load(Ordering::Acquire)
     }
 
-    /// Notes that the controller is told of a loss; returns whether it hasn't been lately.
+    /// Records that the loss of a group is reported to the controller. Returns false if it was already
+    /// reported a short time ago and needs no other report.
     pub(crate) fn note_reported(&self, key: &GroupKey) -> bool {
         let now = clock::now();
-        let mut reported = lock(&self.reported);
-        reported.retain(|_, at| now.since(*at) < REPORT_AGAIN);
+        let mut reported = lock(&self.losses_reported);
+        reported.retain(|_, at| now.since(*at) < LOSS_REPORT_INTERVAL);
         if reported.contains_key(key) {
             return false;
         }
@@ -248,7 +250,7 @@
         self.registry_read.store(true, Ordering::Release);
     }
 
-    pub(crate) fn note_leaving(&self) {
+    pub(crate) fn set_leaving(&self) {
         self.leaving.store(true, Ordering::Release);
     }
 
@@ -256,8 +258,8 @@
         self.leaving.load(Ordering::Acquire)
     }
 
-    /// Notes whether this node controls the groups and is forming some.
-    pub(crate) fn note_forming(&self, is_forming: bool) {
+    /// Sets whether this node controls the groups and is forming some.
+    pub(crate) fn set_forming(&self, is_forming: bool) {
         self.forming.store(is_forming, Ordering::Release);
     }
 
@@ -266,8 +268,8 @@
         self.forming.load(Ordering::Acquire)
     }
 
-    /// Returns why the node takes no callers, or nothing when it does.
-    pub(crate) fn unready_because(&self) -> Option<&'static str> {
+    /// Returns the reason why the node isn't ready for callers, or `None` if it is ready.
+    pub(crate) fn unready_reason(&self) -> Option<&'static str> {
         if self.is_leaving() {
             return Some("the node is leaving");
         }
@@ -287,64 +289,65 @@
         self.requests.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Returns whether callers' requests have come, or may have before this process started.
+    /// Returns whether requests of callers have arrived, or may have arrived before this process started.
     ///
-    /// A process that started again during the day has had no request yet. A controller that took that
-    /// for the time before traffic would begin all loads at once, far more than the weight store admits.
+    /// A process that is restarted while the deployment serves traffic has received no request yet. If its
+    /// controller concluded that there is no traffic, it would start all loads at once, far more than the
+    /// weight store admits.
     pub(crate) fn is_in_traffic(&self) -> bool {
         !self.settings.first_start || self.requests.load(Ordering::Relaxed) > 0
     }
 
-    /// Returns the signal that is given when a group is found lost.
+    /// Returns the signal that is triggered when a group is found lost.
     pub(crate) fn watch_group(&self, key: &GroupKey) -> Signal {
-        let mut groups = lock(&self.groups);
-        if let Some(watched) = groups.get(key) {
-            return watched.lost.clone();
+        let mut signals = lock(&self.loss_signals);
+        if let Some(loss) = signals.get(key) {
+            return loss.signal.clone();
         }
         let (trigger, lost) = Signal::new();
-        let watched = Watched {
-            lost: lost.clone(),
+        let loss = LossSignal {
+            signal: lost.clone(),
             trigger,
             lost_at: None,
         };
-        groups.insert(key.clone(), watched);
+        signals.insert(key.clone(), loss);
         lost
     }
 
-    /// Notes that a group is lost, so that its requests go elsewhere at once.
+    /// Marks a group as lost, so that its requests are moved to other endpoints immediately.
     pub(crate) fn lose_group(&self, key: &GroupKey) {
         let now = clock::now();
-        let _watched = self.watch_group(key);
-        if let Some(watched) = lock(&self.groups).get_mut(key) {
-            watched.lost_at = Some(now);
-            watched.trigger.give();
+        let _signal = self.watch_group(key);
+        if let Some(loss) = lock(&self.loss_signals).get_mut(key) {
+            loss.lost_at = Some(now);
+            loss.trigger.give();
         }
     }
 
-    /// Returns whether a group was found lost lately.
+    /// Returns whether the group of an endpoint was recently found lost.
     pub(crate) fn is_lost(&self, endpoint: &Endpoint) -> bool {
         let Some(key) = endpoint.group_key() else {
             return false;
         };
-        let groups = lock(&self.groups);
-        groups
-            .get(&key)
-            .is_some_and(|group| group.lost_at.is_some())
+        let signals = lock(&self.loss_signals);
+        signals.get(&key).is_some_and(|loss| loss.lost_at.is_some())
     }
 
-    /// Forgets groups that nobody speaks of any more, and losses that are long ago.
+    /// Removes entries of groups and endpoints that are no longer in the directory, and expired losses.
     pub(crate) fn tidy_groups(&self, now: Timestamp, directory: &Directory) {
-        lock(&self.groups).retain(|key, watched| {
-            let lost_long = watched.lost_at.is_some_and(|at| now.since(at) > LOST_FOR);
-            !lost_long && directory.members(key).next().is_some()
+        lock(&self.loss_signals).retain(|key, loss| {
+            let is_expired = loss
+                .lost_at
+                .is_some_and(|at| now.since(at) > LOST_GROUP_TTL);
+            !is_expired && directory.members(key).next().is_some()
         });
         self.loads().forget(|id| directory.find(id).is_some());
         lock(&self.cold).retain(|id, _| directory.is_cold(now, id));
-        lock(&self.contentions).tidy(now);
+        lock(&self.contentions).prune(now);
     }
 }
 
-fn own_entry(settings: &EntrySettings) -> PeerNode {
+fn local_peer(settings: &EntrySettings) -> PeerNode {
     PeerNode {
         node: settings.node.clone(),
         failure_domain: settings.failure_domain.clone(),
--- a/crates/sesamecart-entry/src/beliefs/budgets.rs
+++ b/crates/sesamecart-entry/src/beliefs/budgets.rs
@@ -1,4 +1,5 @@
-//! What this node may send: its shares of retries and of requests to cold endpoints, and its customers' shares.
+//! Limits on what this node may send: its retry budget, its share of requests to cold endpoints, and the
+//! fair shares of its customers.
 
 use std::time::Duration;
 
@@ -13,34 +14,34 @@
 use super::{Beliefs, lock};
 use crate::clock;
 
-/// The endpoints that requests compete for: a service's, or the groups of one of its models.
+/// The set of endpoints that requests compete for: all of a service, or the groups of one of its models.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub(crate) struct Pool {
     pub(crate) service: ServiceId,
     pub(crate) model: Option<ModelId>,
 }
 
-/// What this node knows of the requests that compete for the same endpoints.
+/// Fair shares and retry schedule of the requests that compete for the same endpoints.
 #[derive(Debug, Default)]
 struct Contention {
     shares: FairShare,
     retries: RetrySchedule,
 }
 
-/// The requests that compete for each pool of endpoints.
+/// The [`Contention`] of each pool of endpoints.
 #[derive(Debug, Default)]
 pub(super) struct Contentions(IndexMap<Pool, Contention>);
 
 impl Contentions {
-    fn of(&mut self, pool: &Pool) -> &mut Contention {
+    fn get_or_default(&mut self, pool: &Pool) -> &mut Contention {
         if !self.0.contains_key(pool) {
             self.0.insert(pool.clone(), Contention::default());
         }
         &mut self.0[pool]
     }
 
-    /// Forgets customers that have asked nothing for long.
-    pub(super) fn tidy(&mut self, now: Timestamp) {
+    /// Removes customers that have sent no request for a long time.
+    pub(super) fn prune(&mut self, now: Timestamp) {
         for contention in self.0.values_mut() {
             contention.shares.tidy(now);
         }
@@ -48,66 +49,63 @@
 }
 
 impl Beliefs {
-    /// Notes a request that was placed.
+    /// Records that a request was placed at an endpoint of a pool.
     pub(crate) fn note_placed(&self, pool: &Pool, customer: Option<&CustomerId>) {
         let now = clock::now();
         let mut contentions = lock(&self.contentions);
-        let contention = contentions.of(pool);
+        let contention = contentions.get_or_default(pool);
         contention.retries.note_placed(now);
         if let Some(customer) = customer {
             contention.shares.note_placed(now, customer);
         }
     }
 
-    /// Returns whether a customer has got what it may where others are likely to need the places of a pool.
+    /// Returns whether a customer has used up its fair share of a pool whose capacity other customers are
+    /// likely to need.
     pub(crate) fn is_over_share(&self, pool: &Pool, customer: &CustomerId, load: f64) -> bool {
         let mut contentions = lock(&self.contentions);
-        let shares = &contentions.of(pool).shares;
+        let shares = &contentions.get_or_default(pool).shares;
         shares.is_over_share(clock::now(), customer, load)
     }
 
-    /// Returns when a caller that found no place may come back.
+    /// Returns the delay after which a caller that was refused for lack of capacity may retry.
     pub(crate) fn schedule_retry(&self, pool: &Pool) -> Duration {
         let mut contentions = lock(&self.contentions);
-        let retries = &mut contentions.of(pool).retries;
+        let retries = &mut contentions.get_or_default(pool).retries;
         retries.schedule(clock::now(), fastrand::f64())
     }
 
-    /// Counts a first attempt at a service.
+    /// Counts a first attempt at a service, which adds to its retry budget.
     pub(crate) fn deposit_retry(&self, service: &ServiceId) {
         let now = clock::now();
         self.with_retries(service, |allowance| allowance.deposit(now));
     }
 
-    /// Returns whether this node has a retry left at a service.
+    /// Returns whether the retry budget of a service has a retry left on this node.
     pub(crate) fn has_retry(&self, service: &ServiceId) -> bool {
         let now = clock::now();
         self.with_retries(service, |allowance| allowance.has_left(now))
     }
 
-    /// Takes a retry at a service, if this node has one left.
+    /// Takes a retry from the budget of a service, if there is one left.
     pub(crate) fn try_withdraw_retry(&self, service: &ServiceId) -> bool {
         let now = clock::now();
         self.with_retries(service, |allowance| allowance.try_withdraw(now))
     }
 
-    fn with_retries<T>(
-        &self,
-        service: &ServiceId,
-        act: impl FnOnce(&mut RetryAllowance) -> T,
-    ) -> T {
+    fn with_retries<T>(&self, service: &ServiceId, f: impl FnOnce(&mut RetryAllowance) -> T) -> T {
         let nodes = self.nodes.load().len();
         let mut retries = lock(&self.retries);
         if !retries.contains_key(service) {
-            let allowance = RetryAllowance::new(self.settings.bounds.retries(), nodes);
+            let allowance = RetryAllowance::new(self.settings.bounds.retry_share(), nodes);
             retries.insert(service.clone(), allowance);
         }
         let allowance = &mut retries[service];
         allowance.set_nodes(nodes);
-        act(allowance)
+        f(allowance)
     }
 
-    /// Takes one request out of this node's share of what a cold endpoint bears.
+    /// Takes one request from this node's share of the request rate that a cold endpoint can serve.
     pub(crate) fn take_cold(&self, endpoint: &Endpoint, per_s: f64) -> bool {
         let now = clock::now();
         let mut cold = lock(&self.cold);
@@ -120,13 +118,13 @@
     }
 }
 
-/// Returns this node's place among all nodes for one endpoint, the same at every node that knows
-/// the same nodes.
-fn rank(own: &NodeId, nodes: &[PeerNode], endpoint: &EndpointId) -> usize {
+/// Returns this node's rank among all nodes for one endpoint, by rendezvous hashing. Nodes that know the same
+/// set of nodes compute the same ranks.
+fn rank(node: &NodeId, nodes: &[PeerNode], endpoint: &EndpointId) -> usize {
     let weight = |node: &NodeId| rendezvous_weight(endpoint.as_str(), node.as_str());
-    let mine = weight(own);
+    let own_weight = weight(node);
     nodes
         .iter()
-        .filter(|peer| weight(&peer.node) > mine)
+        .filter(|peer| weight(&peer.node) > own_weight)
         .count()
 }
--- a/crates/sesamecart-entry/src/beliefs/tests.rs
+++ b/crates/sesamecart-entry/src/beliefs/tests.rs
@@ -1,16 +1,17 @@
-//! What a process that has just started takes for granted.
+//! Tests of what a process assumes about traffic right after its start.
 
 use crate::testkit::beliefs;
 
-/// A controller's process ends during the day and starts again. It has had no request yet; if it took that
-/// for the time before traffic, it would begin every load at once, and the weight store would refuse them.
+/// A controller that restarts while the deployment serves traffic has received no request yet. If it
+/// concluded that there is no traffic, it would start every load at once, and the weight store would refuse
+/// them.
 #[test]
-fn a_process_that_starts_again_does_not_take_the_day_for_the_time_before_traffic() {
+fn restarted_process_assumes_traffic() {
     assert!(beliefs(false).is_in_traffic());
 }
 
 #[test]
-fn a_deployment_that_starts_for_the_first_time_is_in_traffic_with_its_first_request() {
+fn first_start_is_in_traffic_after_first_request() {
     let beliefs = beliefs(true);
     assert!(!beliefs.is_in_traffic());
     beliefs.note_request();
--- a/crates/sesamecart-entry/src/controller.rs
+++ b/crates/sesamecart-entry/src/controller.rs
@@ -1,4 +1,4 @@
-//! Controls the serving groups while this node holds the lease.
+//! Plans and changes the serving groups while this node holds the control lease.
 
 mod engines;
 mod lease;
@@ -20,75 +20,78 @@
 
 use crate::beliefs::Beliefs;
 use crate::clock;
-use crate::controller::engines::Engines;
+use crate::controller::engines::EngineClient;
 use crate::controller::lease::Lease;
 use crate::controller::observations::follow_observations;
-use crate::controller::steps::{Outcome, carry_out};
+use crate::controller::steps::{StepOutcome, execute};
 use crate::events::Event;
 use crate::losses;
 
-/// How often the plan is made anew when nothing has changed.
-const PLAN_EVERY: Duration = Duration::from_millis(100);
+/// Interval between two plans when nothing has changed.
+const PLAN_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long an engine whose load didn't begin is left alone.
-const REST_AFTER_FAILURE: Duration = Duration::from_millis(400);
+/// How long an engine is quarantined after it didn't start a load.
+const LOAD_FAILURE_QUARANTINE: Duration = Duration::from_millis(400);
 
-/// How long an engine that didn't answer is left alone; its entry has lapsed by then if it is gone.
-const REST_AFTER_SILENCE: Duration = Duration::from_millis(4_500);
+/// How long an engine is quarantined after it didn't answer. If it has exited, its registry entry has expired
+/// by then.
+const NO_ANSWER_QUARANTINE: Duration = Duration::from_millis(4_500);
 
-/// How often it is logged what the engines are used for.
-const COUNT_EVERY: Duration = Duration::from_secs(2);
+/// Interval at which the use of the engines is logged.
+const FLEET_LOG_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Takes the lease when it can, and acts while it holds it.
+/// Acquires the control lease when it is free, and manages the groups while it holds the lease.
 pub(crate) struct Controller {
     pub(crate) beliefs: Arc<Beliefs>,
     pub(crate) store: Store,
     pub(crate) client: HttpClient,
     pub(crate) links: Links,
     pub(crate) tasks: Tasks,
-    /// Told of each change of the registry.
-    pub(crate) changed: Receiver<()>,
+    /// Gets a message after each change of the registry.
+    pub(crate) registry_changed: Receiver<()>,
     /// Groups that this node found lost.
-    pub(crate) found: Receiver<GroupKey>,
+    pub(crate) lost_groups: Receiver<GroupKey>,
 }
 
-/// One term of control, under one lease.
+/// The state of one term as the controller: from the acquisition of the lease to its loss.
 struct Term {
     planner: Planner,
-    engines: Arc<Engines>,
-    outcomes: Receiver<Outcome>,
-    tell: Sender<Outcome>,
-    observed: Receiver<GroupKey>,
-    /// Groups that are being examined or taken apart: all nodes report a loss at about once.
-    handled: IndexSet<GroupKey>,
-    /// When it was last logged what the engines are used for.
-    counted_at: Timestamp,
-    /// The models that were said to have no fabric domain that holds them.
+    engines: Arc<EngineClient>,
+    outcome_rx: Receiver<StepOutcome>,
+    outcome_tx: Sender<StepOutcome>,
+    /// Groups that other nodes reported as lost.
+    reported_groups: Receiver<GroupKey>,
+    /// Groups that are being probed or dissolved. Guards against duplicates, because all nodes report a loss
+    /// at about the same time.
+    in_progress: IndexSet<GroupKey>,
+    /// When the use of the engines was last logged.
+    logged_at: Timestamp,
+    /// The models already logged as having no fabric domain that is large enough for a group.
     unservable: IndexSet<ModelId>,
     tasks: Tasks,
 }
 
-/// What woke the controller.
-enum Woken {
+/// Why the controller woke up.
+enum Wakeup {
     Plan,
-    Found(GroupKey),
-    Observed(GroupKey),
-    Outcome(Outcome),
+    LossDetected(GroupKey),
+    LossReported(GroupKey),
+    Outcome(StepOutcome),
 }
 
 impl Controller {
     pub(crate) async fn run(self) {
         let mut formed = 0;
         let lease = Arc::new(Lease::new(Arc::clone(&self.beliefs), self.store.clone()));
-        self.tasks.spawn(Arc::clone(&lease).keep());
+        self.tasks.spawn(Arc::clone(&lease).run());
         let mut term: Option<Term> = None;
         loop {
-            let holds = lease.holds();
-            match (&mut term, holds) {
-                (None, Some(fence)) => term = Some(self.begin(&lease, fence, formed)),
+            let current_fence = lease.fence();
+            match (&mut term, current_fence) {
+                (None, Some(fence)) => term = Some(self.start_term(&lease, fence, formed)),
                 (Some(_), None) => {
                     if let Some(ended) = term.take() {
-                        // Names of groups aren't given twice, also when the fence stays the same.
+                        // Names of groups must not be reused, even if the next term has the same fence.
                         formed = ended.planner.formed();
                         self.beliefs.metrics.record_unservable(0);
                         ended.tasks.cancel().await;
@@ -97,65 +100,65 @@
                 _ => {}
             }
             let is_forming = term.as_ref().is_some_and(|term| term.planner.is_forming());
-            self.beliefs.note_forming(is_forming);
-            let woken = self.wait(term.as_ref()).await;
-            self.act(term.as_mut(), woken).await;
+            self.beliefs.set_forming(is_forming);
+            let wakeup = self.wait(term.as_ref()).await;
+            self.handle(term.as_mut(), wakeup).await;
         }
     }
 
-    fn begin(&self, lease: &Arc<Lease>, fence: Fence, formed: u64) -> Term {
-        let (tell, outcomes) = async_channel::unbounded();
-        let (observe, observed) = async_channel::unbounded();
+    fn start_term(&self, lease: &Arc<Lease>, fence: Fence, formed: u64) -> Term {
+        let (outcome_tx, outcome_rx) = async_channel::unbounded();
+        let (report_tx, reported_groups) = async_channel::unbounded();
         let tasks = Tasks::new(Arc::clone(self.tasks.executor()));
-        tasks.spawn(follow_observations(self.store.clone(), observe));
+        tasks.spawn(follow_observations(self.store.clone(), report_tx));
         Term {
             planner: Planner::new(fence, formed),
-            handled: IndexSet::new(),
-            counted_at: Timestamp::ZERO,
+            in_progress: IndexSet::new(),
+            logged_at: Timestamp::ZERO,
             unservable: IndexSet::new(),
-            engines: Arc::new(Engines::new(
+            engines: Arc::new(EngineClient::new(
                 Arc::clone(&self.beliefs),
                 self.client.clone(),
                 Arc::clone(lease),
             )),
-            outcomes,
-            tell,
-            observed,
+            outcome_rx,
+            outcome_tx,
+            reported_groups,
             tasks,
         }
     }
 
-    async fn wait(&self, term: Option<&Term>) -> Woken {
+    async fn wait(&self, term: Option<&Term>) -> Wakeup {
         let plan = async {
-            future::or(sleep(PLAN_EVERY), received(&self.changed)).await;
-            Woken::Plan
+            future::or(sleep(PLAN_INTERVAL), recv_or_pend(&self.registry_changed)).await;
+            Wakeup::Plan
         };
-        let found = async { Woken::Found(received(&self.found).await) };
-        let here = future::or(found, plan);
+        let detected = async { Wakeup::LossDetected(recv_or_pend(&self.lost_groups).await) };
+        let local = future::or(detected, plan);
         let Some(term) = term else {
-            return here.await;
+            return local.await;
         };
-        let outcome = async { Woken::Outcome(received(&term.outcomes).await) };
-        let observed = async { Woken::Observed(received(&term.observed).await) };
-        future::or(future::or(outcome, observed), here).await
+        let outcome = async { Wakeup::Outcome(recv_or_pend(&term.outcome_rx).await) };
+        let reported = async { Wakeup::LossReported(recv_or_pend(&term.reported_groups).await) };
+        future::or(future::or(outcome, reported), local).await
     }
 
-    async fn act(&self, term: Option<&mut Term>, woken: Woken) {
-        match (term, woken) {
-            (Some(term), Woken::Found(key) | Woken::Observed(key)) => {
-                term.start(Step::Examine(key), self);
+    async fn handle(&self, term: Option<&mut Term>, wakeup: Wakeup) {
+        match (term, wakeup) {
+            (Some(term), Wakeup::LossDetected(key) | Wakeup::LossReported(key)) => {
+                term.start_step(Step::Examine(key), self);
             }
-            (Some(term), Woken::Outcome(outcome)) => {
-                term.take(outcome);
-                // A start brings hundreds of outcomes at about once; a plan for each would take the
-                // thread for a second.
-                while let Ok(outcome) = term.outcomes.try_recv() {
-                    term.take(outcome);
+            (Some(term), Wakeup::Outcome(outcome)) => {
+                term.apply(outcome);
+                // When a deployment starts, hundreds of outcomes arrive at about the same time. A plan for
+                // each of them would occupy the thread for a second.
+                while let Ok(outcome) = term.outcome_rx.try_recv() {
+                    term.apply(outcome);
                 }
                 self.plan(term);
             }
-            (Some(term), Woken::Plan) => self.plan(term),
-            (None, Woken::Found(key)) => {
+            (Some(term), Wakeup::Plan) => self.plan(term),
+            (None, Wakeup::LossDetected(key)) => {
                 losses::report(&self.beliefs, &self.store, &self.links, &key).await;
             }
             (None, _) => {}
@@ -168,13 +171,15 @@
         };
         let directory = self.beliefs.directory.load_full();
         let now = clock::now();
-        let counts = now.since(term.counted_at) >= COUNT_EVERY;
-        if counts {
-            term.counted_at = now;
+        let is_log_due = now.since(term.logged_at) >= FLEET_LOG_INTERVAL;
+        if is_log_due {
+            term.logged_at = now;
         }
         let demand = self.beliefs.estimated_demand();
-        for (service, known) in &catalog.services {
-            let Some(spec) = &known.engine else { continue };
+        for (service, service_spec) in &catalog.services {
+            let Some(spec) = &service_spec.engine else {
+                continue;
+            };
             if spec.models.is_empty() {
                 continue;
             }
@@ -185,19 +190,19 @@
                 in_traffic: self.beliefs.is_in_traffic(),
                 demand: demand.as_ref(),
             };
-            if counts {
-                log_counts(&self.beliefs, &term.planner, &input);
+            if is_log_due {
+                log_fleet_counts(&self.beliefs, &term.planner, &input);
             }
             let steps = term.planner.plan(now, &input);
-            term.note_unservable(&self.beliefs, now, &input);
+            term.log_unservable(&self.beliefs, now, &input);
             for step in steps {
-                term.start(step, self);
+                term.start_step(step, self);
             }
         }
     }
 }
 
-fn log_counts(beliefs: &Beliefs, planner: &Planner, input: &PlannerInput<'_>) {
+fn log_fleet_counts(beliefs: &Beliefs, planner: &Planner, input: &PlannerInput<'_>) {
     let (models, empty) = planner.summary(input);
     for counts in models {
         beliefs.events.write(&Event::FleetCounted {
@@ -213,12 +218,12 @@
     }
 }
 
-/// Waits for the next message, for ever once nobody can send any more.
+/// Waits for the next message; waits forever once the channel is closed.
 ///
-/// When the node stops, the senders' tasks are cancelled before the controller's. A closed channel
-/// that counted as a message made the controller spin, so that its thread never came to cancel it and
-/// the process ended only by the SIGKILL.
-async fn received<T>(channel: &Receiver<T>) -> T {
+/// When the node stops, the tasks of the senders are cancelled before the controller's. If a closed channel
+/// counted as a message, the controller would spin, its thread would never get to cancel it, and the process
+/// would end only by the SIGKILL.
+async fn recv_or_pend<T>(channel: &Receiver<T>) -> T {
     match channel.recv().await {
         Ok(message) => message,
         Err(_) => future::pending().await,
@@ -226,73 +231,80 @@
 }
 
 impl Term {
-    /// Says once which models can't be served, so that operators look for engines and not for a fault.
-    fn note_unservable(&mut self, beliefs: &Beliefs, now: Timestamp, input: &PlannerInput<'_>) {
+    /// Logs each model that can't be served once, so that operators look for missing engines and not for a
+    /// fault.
+    fn log_unservable(&mut self, beliefs: &Beliefs, now: Timestamp, input: &PlannerInput<'_>) {
         let models = self.planner.unservable(now, input.spec);
         beliefs.metrics.record_unservable(models.len());
         let engines = input.directory.largest_fabric_domain(input.service);
-        for known in &models {
-            if self.unservable.contains(&known.model) {
+        for model in &models {
+            if self.unservable.contains(&model.model) {
                 continue;
             }
             beliefs.events.write(&Event::ModelUnservable {
-                model: known.model.as_str(),
-                group_size: known.group_size,
+                model: model.model.as_str(),
+                group_size: model.group_size,
                 engines,
             });
         }
-        self.unservable = models.iter().map(|known| known.model.clone()).collect();
+        self.unservable = models.iter().map(|model| model.model.clone()).collect();
     }
 
-    fn take(&mut self, outcome: Outcome) {
+    fn apply(&mut self, outcome: StepOutcome) {
         let now = clock::now();
         match outcome {
-            Outcome::Joined { all: true, .. }
-            | Outcome::Opened { opening: true, .. }
-            | Outcome::Staged { begun: true, .. } => {}
-            Outcome::Joined { key, .. } | Outcome::Opened { key, .. } => {
+            StepOutcome::Joined {
+                accepted_by_all: true,
+                ..
+            }
+            | StepOutcome::Opened { accepted: true, .. }
+            | StepOutcome::Staged { accepted: true, .. } => {}
+            StepOutcome::Joined { key, .. } | StepOutcome::Opened { key, .. } => {
                 self.planner.abandon(&key, now);
             }
-            Outcome::Unreachable { key, silent } => {
+            StepOutcome::Unreachable { key, silent } => {
                 self.planner.abandon(&key, now);
                 for endpoint in silent {
-                    self.planner.quarantine(endpoint, now + REST_AFTER_SILENCE);
+                    self.planner
+                        .quarantine(endpoint, now + NO_ANSWER_QUARANTINE);
                 }
             }
-            Outcome::Staged { endpoint, .. } => {
+            StepOutcome::Staged { endpoint, .. } => {
                 self.planner.not_loading(&endpoint);
-                self.planner.quarantine(endpoint, now + REST_AFTER_FAILURE);
+                self.planner
+                    .quarantine(endpoint, now + LOAD_FAILURE_QUARANTINE);
             }
-            Outcome::Dissolved {
+            StepOutcome::Dissolved {
                 key,
-                head_is_out,
-                untold,
+                head_has_left,
+                unconfirmed,
             } => {
-                self.handled.swap_remove(&key);
-                if head_is_out {
+                self.in_progress.swap_remove(&key);
+                if head_has_left {
                     self.planner.dissolved(&key);
                 } else {
                     self.planner.rest_examination(&key, now);
                 }
-                for endpoint in untold {
-                    self.planner.quarantine(endpoint, now + REST_AFTER_SILENCE);
+                for endpoint in unconfirmed {
+                    self.planner
+                        .quarantine(endpoint, now + NO_ANSWER_QUARANTINE);
                 }
             }
-            Outcome::Sound { key } => {
-                self.handled.swap_remove(&key);
+            StepOutcome::Sound { key } => {
+                self.in_progress.swap_remove(&key);
             }
         }
     }
 
-    fn start(&mut self, step: Step, controller: &Controller) {
+    fn start_step(&mut self, step: Step, controller: &Controller) {
         if let Step::Examine(key) | Step::Dissolve(key) = &step {
-            let is_known = self.planner.is_dissolved(key);
-            if is_known || !self.handled.insert(key.clone()) {
+            let is_dissolved = self.planner.is_dissolved(key);
+            if is_dissolved || !self.in_progress.insert(key.clone()) {
                 return;
             }
         }
         let engines = Arc::clone(&self.engines);
-        let tell = self.tell.clone();
+        let outcome_tx = self.outcome_tx.clone();
         let (beliefs, client) = (Arc::clone(&controller.beliefs), controller.client.clone());
         let announce = {
             let (beliefs, links) = (Arc::clone(&beliefs), controller.links.clone());
@@ -300,10 +312,10 @@
             move |key| tasks.spawn(losses::announce(beliefs, links, key))
         };
         self.tasks.spawn(async move {
-            let outcome = carry_out(step, &beliefs, &client, &engines, announce).await;
+            let outcome = execute(step, &beliefs, &client, &engines, announce).await;
             if let Some(outcome) = outcome {
-                // Nobody listens when the term has ended, and then nothing depends on it.
-                let _told = tell.send(outcome).await;
+                // The receiver is gone if the term has ended, and then the outcome isn't needed.
+                let _sent = outcome_tx.send(outcome).await;
             }
         });
     }
--- a/crates/sesamecart-entry/src/controller/engines.rs
+++ b/crates/sesamecart-entry/src/controller/engines.rs
@@ -1,4 +1,4 @@
-//! Orders to engines, each at most once.
+//! Sends orders to engines, so that each is executed at most once.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
@@ -14,81 +14,83 @@
 use crate::beliefs::Beliefs;
 use crate::controller::lease::Lease;
 use crate::events::Event;
-use crate::watch::{ANSWER_LIMIT, QUESTIONS};
+use crate::watch::{MAX_PROBES, PROBE_TIMEOUT};
 
-/// How long an engine has to answer an order; one that lives does within a few milliseconds.
-const ORDER_LIMIT: Duration = Duration::from_millis(250);
+/// Timeout of an order. A live engine answers within a few milliseconds.
+const ORDER_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// How often an order without answer is given; each carries the same expected count, so that the
-/// engine carries out one of them at most.
-const TRIES: usize = 3;
+/// Maximum number of times that an order without an answer is sent. Each attempt carries the same expected
+/// order count, so that the engine executes at most one of them.
+const MAX_ATTEMPTS: usize = 3;
 
-/// The rest between two tries.
-const REST: Duration = Duration::from_millis(30);
+/// Delay between two attempts.
+const RETRY_DELAY: Duration = Duration::from_millis(30);
 
-/// The count of orders that an engine has begun, as far as this controller knows.
+/// The number of orders that an engine has started, as last known to this controller.
 #[derive(Clone, Copy, Debug)]
-struct Count {
-    life: Option<Incarnation>,
-    begun: OrderCount,
-    /// Whether it may be one more: whether an order that was done at once counts isn't said.
+struct KnownCount {
+    incarnation: Option<Incarnation>,
+    started: OrderCount,
+    /// Whether the count may be one higher: an engine that answers `Already` doesn't say whether it counted
+    /// the order.
     ///
-    /// The engine's own report is some hundred ms old, so asking right after such an order brings the
-    /// count from before it. Its next order was refused then: each group whose old head joined the
-    /// next one was formed later, and meanwhile its other members went to smaller groups.
+    /// The engine's report may be some hundred milliseconds old, so a report requested right after such an
+    /// order has the count from before it, and the engine refuses the next order. This delayed each new
+    /// group that an old head was to join, and meanwhile its other members joined smaller groups.
     may_be_one_more: bool,
 }
 
 #[derive(Debug, Default)]
-struct Counts(IndexMap<EndpointId, Count>);
+struct OrderCounts(IndexMap<EndpointId, KnownCount>);
 
-/// Gives orders under the lease.
+/// Sends orders to engines under the control lease.
 #[derive(Debug)]
-pub(crate) struct Engines {
+pub(crate) struct EngineClient {
     beliefs: Arc<Beliefs>,
     client: HttpClient,
     orders: Orders,
     lease: Arc<Lease>,
-    counts: Mutex<Counts>,
+    counts: Mutex<OrderCounts>,
 }
 
-impl Engines {
+impl EngineClient {
     pub(crate) fn new(beliefs: Arc<Beliefs>, client: HttpClient, lease: Arc<Lease>) -> Self {
         Self {
             beliefs,
-            orders: Orders::new(client.clone(), ORDER_LIMIT),
+            orders: Orders::new(client.clone(), ORDER_TIMEOUT),
             client,
             lease,
             counts: Mutex::default(),
         }
     }
 
-    /// Returns the fence of the lease, or zero once it has run out.
+    /// Returns the fence of the lease, or zero if this node doesn't hold the lease.
     pub(crate) fn fence(&self) -> Fence {
-        self.lease.holds().unwrap_or_default()
+        self.lease.fence().unwrap_or_default()
     }
 
-    /// Returns those of some engines that don't answer, of the ones that this controller hasn't spoken
-    /// to.
+    /// Returns the engines that don't answer a probe. Engines whose order count is known aren't probed.
     ///
-    /// An engine that died is in the registry for three heartbeats more. A controller that has just
-    /// taken over would join the living to it and wait for a second until the dead one's order has
-    /// failed for good; with restarts every two seconds no group was mended in between.
-    pub(crate) async fn silent(&self, engines: &[EndpointId]) -> Vec<EndpointId> {
-        let asked = engines.iter().map(|engine| self.is_silent(engine));
-        let answers = join_all(asked).await;
-        let silent = engines.iter().zip(answers).filter(|(_, silent)| *silent);
+    /// An engine that has exited stays in the registry for three more heartbeats. A controller that has just
+    /// taken over would include it in a group with live engines and wait for a second until all attempts at
+    /// its order have failed. With restarts every two seconds, no group was repaired in between.
+    pub(crate) async fn find_silent(&self, engines: &[EndpointId]) -> Vec<EndpointId> {
+        let probes = engines.iter().map(|engine| self.is_silent(engine));
+        let results = join_all(probes).await;
+        let silent = engines.iter().zip(results).filter(|(_, silent)| *silent);
         silent.map(|(engine, _)| engine.clone()).collect()
     }
 
     async fn is_silent(&self, engine: &EndpointId) -> bool {
-        let known = self.beliefs.directory.load().find(engine).cloned();
-        let Some(known) = known else { return true };
-        if self.count(engine, known.incarnation).is_some() {
+        let endpoint = self.beliefs.directory.load().find(engine).cloned();
+        let Some(endpoint) = endpoint else {
+            return true;
+        };
+        if self.count(engine, endpoint.incarnation).is_some() {
             return false;
         }
-        for _ in 0..QUESTIONS {
-            if report(&self.client, known.address, ANSWER_LIMIT)
+        for _ in 0..MAX_PROBES {
+            if report(&self.client, endpoint.address, PROBE_TIMEOUT)
                 .await
                 .is_ok()
             {
@@ -98,13 +100,13 @@
         true
     }
 
-    /// Gives an order.
+    /// Sends an order to an engine.
     ///
-    /// An order that got no answer may be carried out seconds later, after newer ones. It names the
-    /// count of orders that the engine must have begun so far, so by then it does nothing.
-    pub(crate) async fn order(&self, engine: &EndpointId, order: &Order) -> OrderOutcome {
-        let (outcome, fence) = self.try_order(engine, order).await;
-        self.beliefs.metrics.count_order(kind(&outcome));
+    /// An order that got no answer may reach the engine seconds later, after newer ones. It carries the
+    /// number of orders that the engine must have started so far, so a late order has no effect.
+    pub(crate) async fn send_order(&self, engine: &EndpointId, order: &Order) -> OrderOutcome {
+        let (outcome, fence) = self.try_send_order(engine, order).await;
+        self.beliefs.metrics.count_order(outcome_label(&outcome));
         self.beliefs.events.write(&Event::OrderGiven {
             endpoint: engine.as_str(),
             order: &order.to_string(),
@@ -118,57 +120,57 @@
         outcome
     }
 
-    async fn try_order(&self, engine: &EndpointId, order: &Order) -> (OrderOutcome, Fence) {
-        let known = self.beliefs.directory.load().find(engine).cloned();
-        let Some(known) = known else {
+    async fn try_send_order(&self, engine: &EndpointId, order: &Order) -> (OrderOutcome, Fence) {
+        let endpoint = self.beliefs.directory.load().find(engine).cloned();
+        let Some(endpoint) = endpoint else {
             let outcome = OrderOutcome::NotSent("the endpoint is gone".to_owned());
             return (outcome, Fence::default());
         };
         let mut outcome = OrderOutcome::NoAnswer("not tried".to_owned());
-        let mut used = Fence::default();
-        for _ in 0..TRIES {
-            let count = match self.count(engine, known.incarnation) {
+        let mut last_fence = Fence::default();
+        for _ in 0..MAX_ATTEMPTS {
+            let count = match self.count(engine, endpoint.incarnation) {
                 Some(count) => count,
-                None => match report(&self.client, known.address, ORDER_LIMIT).await {
+                None => match report(&self.client, endpoint.address, ORDER_TIMEOUT).await {
                     Ok(report) => {
-                        self.note(engine, known.incarnation, report.orders);
-                        if is_joined_elsewhere(order, &report, &known) {
+                        self.record_count(engine, endpoint.incarnation, report.orders);
+                        if is_joined_elsewhere(order, &report, &endpoint) {
                             return (OrderOutcome::Conflict, Fence::default());
                         }
                         report.orders
                     }
                     Err(error) => {
                         outcome = OrderOutcome::NotSent(error.to_string());
-                        sleep(REST).await;
+                        sleep(RETRY_DELAY).await;
                         continue;
                     }
                 },
             };
-            // The lease is looked at right before the effect: the wait above may have outlived it.
-            let Some(fence) = self.lease.holds() else {
+            // The lease is checked right before the order is sent: it may have expired during the wait above.
+            let Some(fence) = self.lease.fence() else {
                 return (OrderOutcome::Fenced, Fence::default());
             };
-            used = fence;
-            let given = self
+            last_fence = fence;
+            let reply = self
                 .orders
-                .give(engine, known.address, order, fence, Some(count));
-            outcome = given.await;
+                .give(engine, endpoint.address, order, fence, Some(count));
+            outcome = reply.await;
             match &outcome {
                 OrderOutcome::Begun => {
-                    self.note(engine, known.incarnation, OrderCount(count.0 + 1));
+                    self.record_count(engine, endpoint.incarnation, OrderCount(count.0 + 1));
                     return (outcome, fence);
                 }
                 OrderOutcome::NoAnswer(_) => {
-                    if self.has_begun(engine, &known, count).await {
+                    if self.has_started(engine, &endpoint, count).await {
                         return (OrderOutcome::Begun, fence);
                     }
-                    sleep(REST).await;
+                    sleep(RETRY_DELAY).await;
                 }
-                OrderOutcome::NotSent(_) => sleep(REST).await,
-                // The count may be what doesn't fit.
-                OrderOutcome::Conflict => self.correct(engine, known.incarnation, count),
+                OrderOutcome::NotSent(_) => sleep(RETRY_DELAY).await,
+                // The conflict may be due to a wrong count.
+                OrderOutcome::Conflict => self.correct_count(engine, endpoint.incarnation, count),
                 OrderOutcome::Already => {
-                    self.note_done(engine, known.incarnation, count);
+                    self.record_already(engine, endpoint.incarnation, count);
                     return (outcome, fence);
                 }
                 OrderOutcome::Fenced | OrderOutcome::Misdirected | OrderOutcome::Unknown => {
@@ -176,82 +178,103 @@
                 }
             }
         }
-        self.forget(engine);
-        (outcome, used)
+        self.forget_count(engine);
+        (outcome, last_fence)
     }
 
-    /// Returns whether an order without answer has begun: the engine's count shows it.
-    async fn has_begun(&self, engine: &EndpointId, known: &Endpoint, before: OrderCount) -> bool {
-        let Ok(report) = report(&self.client, known.address, ORDER_LIMIT).await else {
+    /// Returns whether the engine has started an order that got no answer, judging by its order count.
+    async fn has_started(
+        &self,
+        engine: &EndpointId,
+        endpoint: &Endpoint,
+        before: OrderCount,
+    ) -> bool {
+        let Ok(report) = report(&self.client, endpoint.address, ORDER_TIMEOUT).await else {
             return false;
         };
-        self.note(engine, known.incarnation, report.orders);
+        self.record_count(engine, endpoint.incarnation, report.orders);
         report.orders > before
     }
 
-    fn count(&self, engine: &EndpointId, life: Option<Incarnation>) -> Option<OrderCount> {
+    fn count(&self, engine: &EndpointId, incarnation: Option<Incarnation>) -> Option<OrderCount> {
         let counts = self.counts.lock().unwrap_or_else(PoisonError::into_inner);
         let count = counts.0.get(engine)?;
-        (count.life == life).then_some(count.begun)
+        (count.incarnation == incarnation).then_some(count.started)
     }
 
-    fn note(&self, engine: &EndpointId, life: Option<Incarnation>, begun: OrderCount) {
-        self.set(engine, life, begun, false);
+    fn record_count(
+        &self,
+        engine: &EndpointId,
+        incarnation: Option<Incarnation>,
+        started: OrderCount,
+    ) {
+        self.set_count(engine, incarnation, started, false);
     }
 
-    /// Notes an order that was done at once, before which the engine's count was `begun`.
-    fn note_done(&self, engine: &EndpointId, life: Option<Incarnation>, begun: OrderCount) {
-        self.set(engine, life, begun, true);
+    /// Records the count after an `Already` answer to an order that was sent with the count `started`.
+    fn record_already(
+        &self,
+        engine: &EndpointId,
+        incarnation: Option<Incarnation>,
+        started: OrderCount,
+    ) {
+        self.set_count(engine, incarnation, started, true);
     }
 
-    /// Takes the other count that is possible after `begun` was refused, or has it asked for anew.
-    fn correct(&self, engine: &EndpointId, life: Option<Incarnation>, begun: OrderCount) {
+    /// Corrects the count after the engine refused `started`: uses the other possible count, or drops the
+    /// entry so that the next attempt requests a report.
+    fn correct_count(
+        &self,
+        engine: &EndpointId,
+        incarnation: Option<Incarnation>,
+        started: OrderCount,
+    ) {
         let may_be_one_more = {
             let counts = self.counts.lock().unwrap_or_else(PoisonError::into_inner);
             let count = counts.0.get(engine);
             count.is_some_and(|count| count.may_be_one_more)
         };
         if may_be_one_more {
-            self.note(engine, life, OrderCount(begun.0 + 1));
+            self.record_count(engine, incarnation, OrderCount(started.0 + 1));
         } else {
-            self.forget(engine);
+            self.forget_count(engine);
         }
     }
 
-    fn set(
+    fn set_count(
         &self,
         engine: &EndpointId,
-        life: Option<Incarnation>,
-        begun: OrderCount,
+        incarnation: Option<Incarnation>,
+        started: OrderCount,
         may_be_one_more: bool,
     ) {
-        let count = Count {
-            life,
-            begun,
+        let count = KnownCount {
+            incarnation,
+            started,
             may_be_one_more,
         };
         let mut counts = self.counts.lock().unwrap_or_else(PoisonError::into_inner);
         counts.0.insert(engine.clone(), count);
     }
 
-    fn forget(&self, engine: &EndpointId) {
+    fn forget_count(&self, engine: &EndpointId) {
         let mut counts = self.counts.lock().unwrap_or_else(PoisonError::into_inner);
         counts.0.swap_remove(engine);
     }
 }
 
-/// Returns whether an engine that is to join is in a group that the registry doesn't show yet.
+/// Returns whether an engine that is to join a group is in another one that the registry doesn't show yet.
 ///
-/// The controller before this one may have formed and opened that group a moment ago. Joining its
-/// members to another would put them into two groups at once.
-fn is_joined_elsewhere(order: &Order, report: &EngineReport, known: &Endpoint) -> bool {
+/// The previous controller may just have formed and opened that group. Adding its members to another group
+/// would put them into two groups at once.
+fn is_joined_elsewhere(order: &Order, report: &EngineReport, endpoint: &Endpoint) -> bool {
     let is_join = matches!(order, Order::Join { .. });
-    let place = |role: &GroupRole| (role.group.clone(), role.epoch);
-    let reported = report.group.as_ref().map(place);
-    is_join && reported.is_some() && reported != known.group.as_ref().map(place)
+    let key = |role: &GroupRole| (role.group.clone(), role.epoch);
+    let reported = report.group.as_ref().map(key);
+    is_join && reported.is_some() && reported != endpoint.group.as_ref().map(key)
 }
 
-fn kind(outcome: &OrderOutcome) -> &'static str {
+fn outcome_label(outcome: &OrderOutcome) -> &'static str {
     match outcome {
         OrderOutcome::Begun => "begun",
         OrderOutcome::Already => "already",
--- a/crates/sesamecart-entry/src/controller/lease.rs
+++ b/crates/sesamecart-entry/src/controller/lease.rs
@@ -1,4 +1,4 @@
-//! The lease under which one node controls the groups.
+//! The lease that lets one node at a time control the groups.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -14,43 +14,43 @@
 use crate::events::Event;
 use crate::follower::Dependency;
 
-/// How long the store keeps a member that sends nothing; another node takes over after it.
+/// How long the store keeps a member that doesn't renew. After that, another node takes over.
 ///
-/// Shorter, a slow store would move control to and fro; longer, losses wait longer for repair while
-/// a holder that was killed is waited for.
-const TTL: Duration = Duration::from_millis(1_100);
+/// With a shorter TTL, control would move back and forth when the store is slow. With a longer one, losses
+/// would be repaired later after the holder was killed.
+const LEASE_TTL: Duration = Duration::from_millis(1_100);
 
-/// How often the lease is renewed: a third of its time, so that two renewals may be lost.
-const RENEW_EVERY: Duration = Duration::from_millis(330);
+/// Interval between renewals: less than a third of the TTL, so that two renewals may be lost.
+const RENEW_INTERVAL: Duration = Duration::from_millis(330);
 
-/// What is kept of the lease for an order that is on its way when it ends.
-const MARGIN: Duration = Duration::from_millis(150);
+/// Subtracted from the lease, to allow for an order that is in flight when the lease expires.
+const EXPIRY_MARGIN: Duration = Duration::from_millis(150);
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Held {
+struct HeldLease {
     fence: Fence,
-    until: Timestamp,
+    expires_at: Timestamp,
 }
 
-/// The lease: the store deals the control topic's partition to one member at a time.
+/// The control lease: the store assigns the partition of the control topic to one member at a time.
 ///
-/// A node acts only while the renewal that was last answered was *sent* less than the lease ago, by
-/// the clock that goes on through a suspension; a node that wakes after seconds finds it run out. The
-/// group's generation, which goes up whenever the partition moves, is the fencing token of all orders,
-/// so an order of an earlier holder that is still on its way is refused.
+/// A node acts only while the last renewal that was answered was *sent* less than the lease duration ago. The
+/// clock also advances while the machine is suspended, so a node that resumes after seconds finds its lease
+/// expired. The generation of the store's group increases whenever the partition moves. It is the fencing
+/// token of all orders, so an order of an earlier holder that is still in flight is refused.
 #[derive(Debug)]
 pub(crate) struct Lease {
     beliefs: Arc<Beliefs>,
     store: Store,
-    /// This process as the store's group knows it.
+    /// The member ID of this process in the store's group.
     ///
-    /// A process that was killed and started again within the lease's time is another member. Under
-    /// the node's name alone it would hold the lease at once under the fence of the one that died,
-    /// and give names and epochs a second time that groups have already.
+    /// It is random, so that a process that is killed and restarted within the TTL is a new member. With the
+    /// node's name alone, the new process would hold the lease at once under the fence of the old one, and
+    /// reuse names and epochs that groups already have.
     member: String,
-    held: Mutex<Option<Held>>,
-    /// Fences up to here were refused by an engine.
-    refused: AtomicU64,
+    held: Mutex<Option<HeldLease>>,
+    /// The highest fence that an engine refused.
+    highest_refused: AtomicU64,
 }
 
 impl Lease {
@@ -61,77 +61,77 @@
             store,
             member,
             held: Mutex::new(None),
-            refused: AtomicU64::new(0),
+            highest_refused: AtomicU64::new(0),
         }
     }
 
-    /// Returns the fence under which this node may act right now.
-    pub(crate) fn holds(&self) -> Option<Fence> {
+    /// Returns the fence under which this node may act now, or `None` if it doesn't hold the lease.
+    pub(crate) fn fence(&self) -> Option<Fence> {
         let held = *self.held.lock().unwrap_or_else(PoisonError::into_inner);
-        let held = held.filter(|held| clock::now() < held.until)?;
+        let held = held.filter(|held| clock::now() < held.expires_at)?;
         Some(held.fence)
     }
 
-    /// Gives control up at once: another node has used a fence higher than `fence`.
+    /// Gives up control immediately, because another node has used a fence higher than `fence`.
     pub(crate) fn step_down(&self, fence: Fence, reason: &str) {
-        self.refused.fetch_max(fence.0, Ordering::AcqRel);
-        self.set(None, reason);
+        self.highest_refused.fetch_max(fence.0, Ordering::AcqRel);
+        self.set_held(None, reason);
     }
 
-    /// Takes the lease when it is free and renews it, until the task is dropped.
-    pub(crate) async fn keep(self: Arc<Self>) {
-        let least = Duration::from_millis(self.beliefs.settings.bounds.lease_least_ms);
-        let ttl = TTL.max(least);
+    /// Acquires the lease when it is free and renews it, until the node leaves or the task is dropped.
+    pub(crate) async fn run(self: Arc<Self>) {
+        let min_ttl = Duration::from_millis(self.beliefs.settings.bounds.lease_least_ms);
+        let ttl = LEASE_TTL.max(min_ttl);
         let mut dependency = Dependency::new("store, control");
         let mut generation = 0;
         loop {
-            // Control is left to the nodes that read the store: calls of all nodes to stay in the group
-            // would grow with the nodes.
+            // Only nodes that read the store compete for control. If all nodes renewed a membership, the
+            // calls to the store would grow with the number of nodes.
             while !self.beliefs.reads_store() {
-                self.set(None, "the node doesn't read the store");
-                sleep(RENEW_EVERY).await;
+                self.set_held(None, "the node doesn't read the store");
+                sleep(RENEW_INTERVAL).await;
             }
             let sent = clock::now();
             match self.store.join(&self.member, ttl, generation).await {
                 Ok(joined) => {
-                    let _was_away = dependency.answered(&self.beliefs);
+                    let _was_unavailable = dependency.answered(&self.beliefs);
                     generation = joined.generation;
-                    let is_refused = generation <= self.refused.load(Ordering::Acquire);
+                    let is_refused = generation <= self.highest_refused.load(Ordering::Acquire);
                     if joined.holds && is_refused {
-                        // Only a change of the group brings a fence that engines accept.
-                        self.give_back("an engine refused the fence").await;
-                        sleep(RENEW_EVERY).await;
+                        // Engines accept only a higher fence, and only a change of the group raises it.
+                        self.release("an engine refused the fence").await;
+                        sleep(RENEW_INTERVAL).await;
                         continue;
                     }
-                    let held = joined.holds.then_some(Held {
+                    let held = joined.holds.then_some(HeldLease {
                         fence: Fence(generation),
-                        until: sent + ttl.saturating_sub(MARGIN),
+                        expires_at: sent + ttl.saturating_sub(EXPIRY_MARGIN),
                     });
-                    self.set(held, "the store says so");
+                    self.set_held(held, "the store says so");
                 }
                 Err(error) => dependency.failed(&self.beliefs, &error),
             }
             if self.beliefs.is_leaving() {
-                return self.give_back("the node is leaving").await;
+                return self.release("the node is leaving").await;
             }
-            sleep(RENEW_EVERY).await;
+            sleep(RENEW_INTERVAL).await;
         }
     }
 
-    async fn give_back(&self, reason: &str) {
-        self.set(None, reason);
+    async fn release(&self, reason: &str) {
+        self.set_held(None, reason);
         if let Err(error) = self.store.leave(&self.member).await {
-            // The others wait until the lease has run out.
-            log::warn!("control: the lease could not be given back: {error}.");
+            // The other nodes wait until the lease expires.
+            log::warn!("control: the lease could not be released: {error}.");
         }
     }
 
-    fn set(&self, held: Option<Held>, reason: &str) {
+    fn set_held(&self, held: Option<HeldLease>, reason: &str) {
         let before = {
             let mut current = self.held.lock().unwrap_or_else(PoisonError::into_inner);
             std::mem::replace(&mut *current, held)
         };
-        self.beliefs.note_control(held.is_some());
+        self.beliefs.set_controller(held.is_some());
         if before.is_some() != held.is_some() {
             let fence = held.or(before).unwrap_or_default().fence;
             self.beliefs.events.write(&Event::ControlChanged {
--- a/crates/sesamecart-entry/src/controller/observations.rs
+++ b/crates/sesamecart-entry/src/controller/observations.rs
@@ -1,4 +1,4 @@
-//! What other nodes tell the controller through the store: groups that they found lost.
+//! Reads the observations that other nodes send to the controller through the store: groups found lost.
 
 use std::time::Duration;
 
@@ -9,46 +9,50 @@
 
 use crate::losses;
 
-/// How long the store holds a read of observations that finds nothing.
-const OBSERVATIONS_WAIT: Duration = Duration::from_millis(2_000);
+/// How long the store waits for records before it answers a read of observations that finds none.
+const LONG_POLL_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// How long a failed call to the store is followed by a rest.
-const REST: Duration = Duration::from_millis(200);
+/// Delay before a failed call to the store is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Reads what other nodes tell the controller, from now on.
-pub(super) async fn follow_observations(store: Store, observe: Sender<GroupKey>) {
-    let mut from: Option<Offset> = None;
+/// Sends the groups of all observations that are appended from now on to `lost_groups`.
+pub(super) async fn follow_observations(store: Store, lost_groups: Sender<GroupKey>) {
+    let mut next_offset: Option<Offset> = None;
     loop {
-        let Some(at) = from else {
-            // An offset past the end is answered with where the topic ends.
+        let Some(offset) = next_offset else {
+            // This read only finds the end of the topic. The store's reply has it, also for an offset past
+            // the end.
             match store
                 .read(Topic::Observations, Offset(0), Duration::ZERO)
                 .await
             {
-                Ok(Read::Records { end, .. }) => from = Some(end),
-                Ok(Read::Trimmed { first }) => from = Some(first),
-                Err(_) => sleep(REST).await,
+                Ok(Read::Records { end, .. }) => next_offset = Some(end),
+                Ok(Read::Trimmed { first }) => next_offset = Some(first),
+                Err(_) => sleep(RETRY_DELAY).await,
             }
             continue;
         };
-        match store.read(Topic::Observations, at, OBSERVATIONS_WAIT).await {
+        match store
+            .read(Topic::Observations, offset, LONG_POLL_TIMEOUT)
+            .await
+        {
             Ok(Read::Records { records, next, .. }) => {
-                from = Some(next);
+                next_offset = Some(next);
                 for record in records {
-                    let Some(key) = read_observation(&record) else {
+                    let Some(key) = parse_observation(&record) else {
                         continue;
                     };
-                    if observe.send(key).await.is_err() {
+                    if lost_groups.send(key).await.is_err() {
                         return;
                     }
                 }
             }
-            Ok(Read::Trimmed { first }) => from = Some(first),
-            Err(_) => sleep(REST).await,
+            Ok(Read::Trimmed { first }) => next_offset = Some(first),
+            Err(_) => sleep(RETRY_DELAY).await,
         }
     }
 }
 
-fn read_observation(record: &Record) -> Option<GroupKey> {
+fn parse_observation(record: &Record) -> Option<GroupKey> {
     losses::parse_group(std::str::from_utf8(record.value.as_deref()?).ok()?)
 }
--- a/crates/sesamecart-entry/src/controller/steps.rs
+++ b/crates/sesamecart-entry/src/controller/steps.rs
@@ -1,4 +1,4 @@
-//! Carries out what the planner asks for.
+//! Executes the steps of the planner.
 
 use futures_util::future::join_all;
 use sesamecart_edges::HttpClient;
@@ -7,56 +7,62 @@
 use sesamecart_vocabulary::EndpointId;
 
 use crate::beliefs::Beliefs;
-use crate::controller::engines::Engines;
+use crate::controller::engines::EngineClient;
 use crate::events::Event;
-use crate::watch::{self, Examined};
+use crate::watch::{self, GroupProbe};
 
-/// What a step that was carried out brought.
+/// The outcome of an executed step.
 #[derive(Debug)]
-pub(super) enum Outcome {
-    /// The members were told to join, or some couldn't be.
-    Joined { key: GroupKey, all: bool },
-    /// Some members don't answer, so none was told to join.
+pub(super) enum StepOutcome {
+    /// The members were ordered to join; `accepted_by_all` if each accepted the order.
+    Joined {
+        key: GroupKey,
+        accepted_by_all: bool,
+    },
+    /// Some members don't answer, so no member was ordered to join.
     Unreachable {
         key: GroupKey,
         silent: Vec<EndpointId>,
     },
-    /// The head was told to open, or couldn't be.
-    Opened { key: GroupKey, opening: bool },
-    /// A load has begun, or hasn't.
-    Staged { endpoint: EndpointId, begun: bool },
-    /// The head of a group is out of it, which ends the group, or members that could be told are.
+    /// The head was ordered to open; `accepted` if it accepted the order.
+    Opened { key: GroupKey, accepted: bool },
+    /// An engine was ordered to load a model; `accepted` if it accepted the order.
+    Staged {
+        endpoint: EndpointId,
+        accepted: bool,
+    },
+    /// The head of a group has left it, which ends the group, or the members that could be reached have left.
     Dissolved {
         key: GroupKey,
-        head_is_out: bool,
-        untold: Vec<EndpointId>,
+        head_has_left: bool,
+        unconfirmed: Vec<EndpointId>,
     },
-    /// A group was examined and is sound.
+    /// A group was probed and is sound.
     Sound { key: GroupKey },
 }
 
-pub(super) async fn carry_out(
+pub(super) async fn execute(
     step: Step,
     beliefs: &Beliefs,
     client: &HttpClient,
-    engines: &Engines,
+    engines: &EngineClient,
     announce: impl FnOnce(GroupKey),
-) -> Option<Outcome> {
+) -> Option<StepOutcome> {
     match step {
         Step::Join(formation) => Some(join(beliefs, engines, formation).await),
         Step::Open(formation) => {
             let head = formation.members.first()?;
             let order = Order::Open(formation.key.clone());
-            let outcome = engines.order(head, &order).await;
-            Some(Outcome::Opened {
-                opening: is_done(&outcome),
+            let outcome = engines.send_order(head, &order).await;
+            Some(StepOutcome::Opened {
+                accepted: is_accepted(&outcome),
                 key: formation.key,
             })
         }
         Step::Stage { endpoint, model } => {
-            let outcome = engines.order(&endpoint, &Order::Stage(model)).await;
-            Some(Outcome::Staged {
-                begun: is_done(&outcome),
+            let outcome = engines.send_order(&endpoint, &Order::Stage(model)).await;
+            Some(StepOutcome::Staged {
+                accepted: is_accepted(&outcome),
                 endpoint,
             })
         }
@@ -74,36 +80,36 @@
             None
         }
         Step::Dissolve(key) => {
-            let examined = Examined {
+            let probe = GroupProbe {
                 verdict: Verdict::Lost,
                 silent: Vec::new(),
             };
-            Some(dissolve(beliefs, engines, key, examined).await)
+            Some(dissolve(beliefs, engines, key, probe).await)
         }
         Step::Examine(key) => {
-            let examined = watch::examine(beliefs, client, &key).await;
-            if examined.verdict == Verdict::Sound {
-                return Some(Outcome::Sound { key });
+            let probe = watch::probe_group(beliefs, client, &key).await;
+            if probe.verdict == Verdict::Sound {
+                return Some(StepOutcome::Sound { key });
             }
             beliefs.lose_group(&key);
             announce(key.clone());
-            Some(dissolve(beliefs, engines, key, examined).await)
+            Some(dissolve(beliefs, engines, key, probe).await)
         }
     }
 }
 
-/// Tells a group's head to take no more requests; the planner repeats it while the group stays open.
-async fn close(beliefs: &Beliefs, engines: &Engines, key: GroupKey) {
+/// Orders a group's head to accept no more requests. The planner repeats the step while the group is open.
+async fn close(beliefs: &Beliefs, engines: &EngineClient, key: GroupKey) {
     if let Some(head) = head_of(beliefs, &key) {
-        engines.order(&head, &Order::Close(key)).await;
+        engines.send_order(&head, &Order::Close(key)).await;
     }
 }
 
-fn is_done(outcome: &OrderOutcome) -> bool {
+fn is_accepted(outcome: &OrderOutcome) -> bool {
     matches!(outcome, OrderOutcome::Begun | OrderOutcome::Already)
 }
 
-async fn join(beliefs: &Beliefs, engines: &Engines, formation: Formation) -> Outcome {
+async fn join(beliefs: &Beliefs, engines: &EngineClient, formation: Formation) -> StepOutcome {
     let members: Vec<&str> = formation.members.iter().map(EndpointId::as_str).collect();
     beliefs.events.write(&Event::GroupPlanned {
         group: &formation.key.to_string(),
@@ -111,68 +117,73 @@
         members: &members.join(" "),
         fence: engines.fence().0,
     });
-    let silent = engines.silent(&formation.members).await;
+    let silent = engines.find_silent(&formation.members).await;
     if !silent.is_empty() {
         let key = formation.key;
-        return Outcome::Unreachable { key, silent };
+        return StepOutcome::Unreachable { key, silent };
     }
     let order = Order::Join {
         key: formation.key.clone(),
         model: formation.model.clone(),
         members: formation.members.clone(),
     };
-    let orders = formation.members.iter().map(|id| engines.order(id, &order));
-    let all = join_all(orders).await.iter().all(is_done);
-    Outcome::Joined {
+    let orders = formation
+        .members
+        .iter()
+        .map(|id| engines.send_order(id, &order));
+    let accepted_by_all = join_all(orders).await.iter().all(is_accepted);
+    StepOutcome::Joined {
         key: formation.key,
-        all,
+        accepted_by_all,
     }
 }
 
 fn head_of(beliefs: &Beliefs, key: &GroupKey) -> Option<EndpointId> {
-    let head = watch::head_of(&beliefs.directory.load(), key);
+    let head = watch::group_head(&beliefs.directory.load(), key);
     head.map(|head| head.id.clone())
 }
 
-/// Takes a group apart.
+/// Dissolves a group.
 ///
-/// A member that joined elsewhere while the old head might still serve would be in two groups at once.
-/// So the head leaves first, which ends the group; where it doesn't answer, each other member leaves
-/// before it joins anything, without which the head can't serve.
+/// A member that joined another group while the old head might still serve would be in two groups at once.
+/// So the head is ordered to leave first, which ends the group. If the head doesn't answer, every other
+/// member has to leave before it joins another group, because the head can't serve without its members.
 async fn dissolve(
     beliefs: &Beliefs,
-    engines: &Engines,
+    engines: &EngineClient,
     key: GroupKey,
-    examined: Examined,
-) -> Outcome {
+    probe: GroupProbe,
+) -> StepOutcome {
     let head = head_of(beliefs, &key);
     let order = Order::Leave(key.clone());
-    let head_is_out = match (&head, examined.verdict) {
-        (Some(head), Verdict::Lost | Verdict::Sound) => is_done(&engines.order(head, &order).await),
+    let head_has_left = match (&head, probe.verdict) {
+        (Some(head), Verdict::Lost | Verdict::Sound) => {
+            is_accepted(&engines.send_order(head, &order).await)
+        }
         _ => false,
     };
-    let mut untold = examined.silent;
-    if !head_is_out {
+    let mut unconfirmed = probe.silent;
+    if !head_has_left {
         let others: Vec<EndpointId> = {
             let directory = beliefs.directory.load();
             let members = directory.members(&key).map(|member| member.id.clone());
             members
-                .filter(|id| Some(id) != head.as_ref() && !untold.contains(id))
+                .filter(|id| Some(id) != head.as_ref() && !unconfirmed.contains(id))
                 .collect()
         };
-        let orders = others.iter().map(|id| engines.order(id, &order));
+        let orders = others.iter().map(|id| engines.send_order(id, &order));
         let outcomes = join_all(orders).await;
-        let failed = others.into_iter().zip(outcomes);
-        untold.extend(
-            failed
-                .filter(|(_, outcome)| !is_done(outcome))
+        let results = others.into_iter().zip(outcomes);
+        unconfirmed.extend(
+            results
+                .filter(|(_, outcome)| !is_accepted(outcome))
                 .map(|(id, _)| id),
         );
-        untold.extend(head);
+        unconfirmed.extend(head);
     }
-    Outcome::Dissolved {
+    StepOutcome::Dissolved {
         key,
-        head_is_out,
-        untold,
+        head_has_left,
+        unconfirmed,
     }
 }
--- a/crates/sesamecart-entry/src/examinations.rs
+++ b/crates/sesamecart-entry/src/examinations.rs
@@ -1,9 +1,9 @@
-//! Questions to the members of groups, shared between the nodes that ask them.
+//! Probes of the members of groups, shared between nodes.
 //!
-//! It answers a group that falls silent for many nodes at once. Were each of them to ask all members, the
-//! engines would get thousands of questions for one loss, and the nodes would be busy with them while
-//! callers wait. The node that reads the store for a failure domain asks once for all that follow it; what
-//! it finds holds for a moment.
+//! A group that goes silent does so for many nodes at once. If each of them probed all members, the engines
+//! would get thousands of probes for one loss, and the nodes would be busy with them while callers wait.
+//! Instead, the node that reads the store for a failure domain probes once for all nodes that follow it, and
+//! caches the verdict for a short time.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -23,25 +23,26 @@
 use crate::events::Event;
 use crate::watch;
 
-/// How long a finding holds for others: a loss after it is found with the next question.
-const HOLDS: Duration = Duration::from_millis(200);
+/// How long a verdict is cached. A loss that happens later is found by the next probe.
+const VERDICT_TTL: Duration = Duration::from_millis(200);
 
-/// How long another node has to ask the members: each has two tries of some tens of milliseconds.
-const ELSEWHERE_LIMIT: Duration = Duration::from_millis(350);
+/// Timeout of a request to another node to probe a group. That node probes each member up to twice, with a
+/// timeout of some tens of milliseconds.
+const REMOTE_PROBE_TIMEOUT: Duration = Duration::from_millis(350);
 
-/// Asks the members of groups.
+/// Probes groups, directly or through the node that this node follows, and caches the verdicts.
 #[derive(Clone, Debug)]
 pub(crate) struct Examinations {
     beliefs: Arc<Beliefs>,
     client: HttpClient,
     links: Links,
-    known: Arc<Mutex<IndexMap<GroupKey, Examination>>>,
+    probes: Arc<Mutex<IndexMap<GroupKey, SharedProbe>>>,
 }
 
-/// One question to all members of a group, and its finding once it is there.
+/// One probe of all members of a group, and its verdict once it is complete.
 #[derive(Clone, Debug)]
-struct Examination {
-    begun: Timestamp,
+struct SharedProbe {
+    started_at: Timestamp,
     verdict: Arc<OnceCell<Verdict>>,
 }
 
@@ -51,62 +52,64 @@
             beliefs,
             client,
             links,
-            known: Arc::default(),
+            probes: Arc::default(),
         }
     }
 
-    /// Returns whether a group is sound for this node: by the node that it follows, if there is one.
+    /// Returns whether a group is sound as seen from this node. If this node follows another one, that node
+    /// probes the members and this node only the head.
     pub(crate) async fn is_sound(&self, key: &GroupKey) -> bool {
         if let Some(links) = self.beliefs.followed()
-            && let Some(is_sound) = self.ask_elsewhere(links, key).await
+            && let Some(is_sound) = self.probe_via_upstream(links, key).await
         {
-            // What reaches the other node may not reach this one.
-            return is_sound && self.reaches_head(links, key).await;
+            // The other node may reach engines that this node can't reach.
+            return is_sound && self.can_reach_head(links, key).await;
         }
         self.verdict(key).await == Verdict::Sound
     }
 
-    /// Asks a group's members, unless that was done a moment ago or is under way.
+    /// Probes the members of a group, unless a probe is in flight or its verdict is still cached.
     pub(crate) async fn verdict(&self, key: &GroupKey) -> Verdict {
-        let cell = self.cell(key);
-        let asked = async {
-            let examined = watch::examine(&self.beliefs, &self.client, key).await;
-            examined.verdict
+        let cell = self.verdict_cell(key);
+        let probe = async {
+            let result = watch::probe_group(&self.beliefs, &self.client, key).await;
+            result.verdict
         };
-        *cell.get_or_init(|| asked).await
+        *cell.get_or_init(|| probe).await
     }
 
-    fn cell(&self, key: &GroupKey) -> Arc<OnceCell<Verdict>> {
+    fn verdict_cell(&self, key: &GroupKey) -> Arc<OnceCell<Verdict>> {
         let now = clock::now();
-        let mut known = self.known.lock().unwrap_or_else(PoisonError::into_inner);
-        known.retain(|_, examination| now.since(examination.begun) < HOLDS);
-        let examination = known.entry(key.clone()).or_insert_with(|| Examination {
-            begun: now,
+        let mut probes = self.probes.lock().unwrap_or_else(PoisonError::into_inner);
+        probes.retain(|_, probe| now.since(probe.started_at) < VERDICT_TTL);
+        let probe = probes.entry(key.clone()).or_insert_with(|| SharedProbe {
+            started_at: now,
             verdict: Arc::default(),
         });
-        Arc::clone(&examination.verdict)
+        Arc::clone(&probe.verdict)
     }
 
-    async fn ask_elsewhere(&self, links: SocketAddr, key: &GroupKey) -> Option<bool> {
+    async fn probe_via_upstream(&self, links: SocketAddr, key: &GroupKey) -> Option<bool> {
         let group = GroupLoss {
             group: key.to_string(),
         };
         let mut feed = self.links.feed_of(links);
-        match within(ELSEWHERE_LIMIT, feed.examine_group(group)).await {
-            Ok(Ok(answer)) => Some(answer.into_inner().is_sound),
+        match within(REMOTE_PROBE_TIMEOUT, feed.examine_group(group)).await {
+            Ok(Ok(reply)) => Some(reply.into_inner().is_sound),
             Ok(Err(status)) => {
-                log::debug!("watch: node at {links}: examine {key}: {status}.");
+                log::debug!("watch: node at {links}: probe of {key} failed: {status}.");
                 None
             }
             Err(elapsed) => {
-                log::debug!("watch: node at {links}: examine {key}: {elapsed}.");
+                log::debug!("watch: node at {links}: probe of {key} failed: {elapsed}.");
                 None
             }
         }
     }
 
-    async fn reaches_head(&self, links: SocketAddr, key: &GroupKey) -> bool {
-        let probe = watch::ask_head(&self.beliefs, &self.client, key).await;
+    /// Probes the head of a group from this node, after the node at `links` has found the group sound.
+    async fn can_reach_head(&self, links: SocketAddr, key: &GroupKey) -> bool {
+        let probe = watch::probe_head(&self.beliefs, &self.client, key).await;
         let is_sound = matches!(probe, MemberProbe::Member(_));
         let verdict = if is_sound {
             Verdict::Sound
--- a/crates/sesamecart-entry/src/losses.rs
+++ b/crates/sesamecart-entry/src/losses.rs
@@ -1,7 +1,8 @@
-//! Passes on that a group has lost a member: to the controller, and from it to all nodes.
+//! Propagates the loss of a group member to the controller, and from the controller to all nodes.
 //!
-//! Without it each node finds the loss by itself from its own streams, and those with few streams there
-//! send on to a head that stands still; their callers wait until the silence is long enough.
+//! Otherwise each node would have to detect the loss from its own streams. Nodes with few streams at the
+//! group would keep sending requests to a stalled head, and their callers would wait until the silence
+//! timeout.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,22 +19,22 @@
 use crate::clock;
 use crate::events::Event;
 
-/// How long another node has to note a loss; one that lives does within milliseconds.
-const NOTE_LIMIT: Duration = Duration::from_millis(300);
+/// Timeout of a request that reports a loss to another node. A live node answers within milliseconds.
+const LOSS_REPORT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Tells the controller of a loss that this node found: through the node that it follows, which hears
-/// the same from others and passes it on once, or else through the store.
+/// Reports a loss that this node detected to the controller: through the node that this node follows, which
+/// merges the reports of its followers into one, or else through the store.
 pub(crate) async fn report(beliefs: &Beliefs, store: &Store, links: &Links, key: &GroupKey) {
-    let source = beliefs.followed();
-    if let Some(links_of) = source {
+    let upstream = beliefs.followed();
+    if let Some(address) = upstream {
         let loss = GroupLoss {
             group: key.to_string(),
         };
-        let mut feed = links.feed_of(links_of);
-        match within(NOTE_LIMIT, feed.report_loss(loss)).await {
+        let mut feed = links.feed_of(address);
+        match within(LOSS_REPORT_TIMEOUT, feed.report_loss(loss)).await {
             Ok(Ok(_)) => return,
-            Ok(Err(status)) => log::debug!("losses: node at {links_of}: report: {status}."),
-            Err(elapsed) => log::debug!("losses: node at {links_of}: report: {elapsed}."),
+            Ok(Err(status)) => log::debug!("losses: node at {address}: report failed: {status}."),
+            Err(elapsed) => log::debug!("losses: node at {address}: report failed: {elapsed}."),
         }
     }
     if beliefs.note_reported(key) {
@@ -41,15 +42,15 @@
     }
 }
 
-/// Writes a loss into the topic that the controller reads.
+/// Appends a loss to the observations topic, which the controller reads.
 pub(crate) async fn report_to_store(beliefs: &Beliefs, store: &Store, key: &GroupKey) {
     let record = Record {
         key: None,
         value: Some(key.to_string().into_bytes()),
     };
-    let appended = store.append(Topic::Observations, &record, Expected::Anything);
-    if let Err(error) = appended.await {
-        // The controller's own streams, or the lapsed entry, show the loss somewhat later.
+    let append = store.append(Topic::Observations, &record, Expected::Anything);
+    if let Err(error) = append.await {
+        // The controller detects the loss a little later, from its own streams or the expired registry entry.
         beliefs.metrics.count_store_failure();
         beliefs.events.write(&Event::RecordIgnored {
             topic: "observations",
@@ -59,34 +60,34 @@
     }
 }
 
-/// Tells all nodes of a loss that the controller has made sure of: those that follow this node, and
-/// through the other readers those that follow them.
+/// Announces a loss that the controller has confirmed to all nodes: to those that follow this node, and
+/// through the other store readers to those that follow them.
 pub(crate) async fn announce(beliefs: Arc<Beliefs>, links: Links, key: GroupKey) {
     if !beliefs.feed.note_loss(clock::now(), &key) {
         return;
     }
     let nodes = beliefs.nodes.load_full();
-    // Any standby may be serving others in its reader's place.
+    // A standby may be serving followers in place of its reader.
     let serving = readers(&nodes).into_iter().chain(standbys(&nodes));
     let others = serving.filter(|peer| peer.node != beliefs.settings.node);
-    let told = others.map(|reader| tell(&links, reader.links, &key));
-    join_all(told).await;
+    let announcements = others.map(|reader| announce_to(&links, reader.links, &key));
+    join_all(announcements).await;
 }
 
-async fn tell(links: &Links, reader: SocketAddr, key: &GroupKey) {
+async fn announce_to(links: &Links, reader: SocketAddr, key: &GroupKey) {
     let loss = GroupLoss {
         group: key.to_string(),
     };
     let mut feed = links.feed_of(reader);
-    // A node that isn't told finds the loss by itself or in the registry, somewhat later.
-    match within(NOTE_LIMIT, feed.announce_loss(loss)).await {
+    // A node that misses the announcement detects the loss by itself or in the registry, a little later.
+    match within(LOSS_REPORT_TIMEOUT, feed.announce_loss(loss)).await {
         Ok(Ok(_)) => {}
         Ok(Err(status)) => log::debug!("losses: node at {reader}: announce {key}: {status}."),
         Err(elapsed) => log::debug!("losses: node at {reader}: announce {key}: {elapsed}."),
     }
 }
 
-/// Reads a group's name and epoch, as [`GroupKey`] writes them.
+/// Parses a group's name and epoch from the `Display` format of [`GroupKey`].
 pub(crate) fn parse_group(text: &str) -> Option<GroupKey> {
     let (group, epoch) = text.rsplit_once('@')?;
     Some(GroupKey {
--- a/crates/sesamecart-entry/src/node.rs
+++ b/crates/sesamecart-entry/src/node.rs
@@ -165,11 +165,11 @@
     /// joins all threads; returns the number of connections that were cut off.
     pub async fn leave(mut self) -> usize {
         let begun = Instant::now();
-        self.beliefs.note_leaving();
+        self.beliefs.set_leaving();
         self.beliefs.events.write(&Event::Leaving {
             connections: self.beliefs.connections.open(),
         });
-        let grace = self.beliefs.settings.bounds.leave();
+        let grace = self.beliefs.settings.bounds.shutdown_grace();
         let limit = grace.saturating_sub(EXIT_MARGIN);
         sleep(BALANCER_NOTICE.min(limit / 2)).await;
         self.leave.give();
@@ -244,15 +244,10 @@
         Store::new(client.clone(), beliefs.settings.store, STORE_LIMIT, called)
     };
     tasks.spawn(log_store_calls(Arc::clone(beliefs)));
-    let (tell_change, changed) = async_channel::bounded(1);
-    let (tell_found, found) = async_channel::unbounded();
+    let (change_tx, registry_changed) = async_channel::bounded(1);
+    let (loss_tx, lost_groups) = async_channel::unbounded();
     let links = Links::new(tasks.clone(), ByteCount::default());
-    let following = Following::new(
-        Arc::clone(beliefs),
-        store.clone(),
-        links.clone(),
-        tell_change,
-    );
+    let following = Following::new(Arc::clone(beliefs), store.clone(), links.clone(), change_tx);
     tasks.spawn(following.run());
     let examinations = Examinations::new(Arc::clone(beliefs), client.clone(), links.clone());
     tasks.spawn(feed::serve(
@@ -271,7 +266,7 @@
         Arc::clone(beliefs),
         examinations,
         tasks.clone(),
-        tell_found,
+        loss_tx,
     ));
     let controller = Controller {
         beliefs: Arc::clone(beliefs),
@@ -279,8 +274,8 @@
         client,
         links,
         tasks: tasks.clone(),
-        changed,
-        found,
+        registry_changed,
+        lost_groups,
     };
     tasks.spawn(controller.run());
     serve_pages(beliefs, listeners.readiness, &worker, ready);
@@ -326,7 +321,7 @@
 }
 
 fn ready(beliefs: &Beliefs) -> Response<CallerBody> {
-    let Some(reason) = beliefs.unready_because() else {
+    let Some(reason) = beliefs.unready_reason() else {
         return Response::new(whole("ready\n"));
     };
     let mut response = Response::new(whole(format!("{reason}\n")));
--- a/crates/sesamecart-entry/src/settings.rs
+++ b/crates/sesamecart-entry/src/settings.rs
@@ -60,9 +60,9 @@
 }
 
 impl OperatorBounds {
-    /// Returns the retries that all nodes may send.
+    /// Returns the retry budget that all nodes share.
     #[must_use]
-    pub const fn retries(&self) -> RetryShare {
+    pub const fn retry_share(&self) -> RetryShare {
         RetryShare {
             ratio: self.retry_ratio,
             burst: self.retry_burst,
@@ -71,7 +71,7 @@
 
     /// Returns the time between a SIGTERM and the SIGKILL.
     #[must_use]
-    pub fn leave(&self) -> Duration {
+    pub fn shutdown_grace(&self) -> Duration {
         // Settings with another value don't pass their check.
         Duration::try_from_secs_f64(self.leave_s).unwrap_or_default()
     }
--- a/crates/sesamecart-entry/src/watch.rs
+++ b/crates/sesamecart-entry/src/watch.rs
@@ -1,4 +1,4 @@
-//! Finds groups that have lost a member from the silence of their heads.
+//! Detects groups that have lost a member: probes the members of a group whose head has stopped sending.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,24 +18,25 @@
 use crate::events::Event;
 use crate::examinations::Examinations;
 
-/// How often heads are looked at.
-const LOOK_EVERY: Duration = Duration::from_millis(40);
+/// Interval between two checks for silent heads.
+const CHECK_INTERVAL: Duration = Duration::from_millis(40);
 
-/// How long a member has to answer; one that lives does within a few milliseconds.
-pub(crate) const ANSWER_LIMIT: Duration = Duration::from_millis(70);
+/// Timeout of one probe of a member. A live member answers within a few milliseconds.
+pub(crate) const PROBE_TIMEOUT: Duration = Duration::from_millis(70);
 
-/// How often a member is asked before it counts as silent: one packet may be lost.
-pub(crate) const QUESTIONS: usize = 2;
+/// Probes without an answer after which a member counts as silent; a single packet may be lost.
+pub(crate) const MAX_PROBES: usize = 2;
 
-/// Looks at the heads that this node's requests depend on, until the task is dropped.
+/// Checks the heads that this node's requests depend on, until the task is dropped, and sends the groups that
+/// are found lost to `lost_groups`.
 pub(crate) async fn watch_heads(
     beliefs: Arc<Beliefs>,
     examinations: Examinations,
     tasks: Tasks,
-    found: Sender<GroupKey>,
+    lost_groups: Sender<GroupKey>,
 ) {
     loop {
-        sleep(LOOK_EVERY).await;
+        sleep(CHECK_INTERVAL).await;
         let silent = beliefs
             .loads()
             .silent(clock::now(), SilenceLimits::default());
@@ -44,39 +45,44 @@
         }
         let directory = beliefs.directory.load_full();
         for head in silent {
-            let known = directory.find(&head);
-            // A group that was found lost stands still until its head gives up; nothing is learnt.
-            let known = known.filter(|head| !beliefs.is_lost(head));
-            let Some(key) = known.and_then(|head| head.group_key()) else {
+            let endpoint = directory.find(&head);
+            // A group that was found lost stays stalled until its head gives up, so a probe yields nothing
+            // new.
+            let endpoint = endpoint.filter(|head| !beliefs.is_lost(head));
+            let Some(key) = endpoint.and_then(|head| head.group_key()) else {
                 continue;
             };
-            let (beliefs, found) = (Arc::clone(&beliefs), found.clone());
+            let (beliefs, lost_groups) = (Arc::clone(&beliefs), lost_groups.clone());
             let examinations = examinations.clone();
             tasks.spawn(async move {
                 if !examinations.is_sound(&key).await {
                     beliefs.metrics.count_group_lost();
                     beliefs.lose_group(&key);
-                    // The controller is told by whoever finds it; a closed channel means that the
-                    // process ends.
-                    let _told = found.send(key).await;
+                    // The node that detects the loss reports it to the controller. A closed channel means
+                    // that the process is shutting down.
+                    let _sent = lost_groups.send(key).await;
                 }
             });
         }
     }
 }
 
-/// A group whose members were asked.
+/// The result of probing the members of a group.
 #[derive(Debug)]
-pub(crate) struct Examined {
+pub(crate) struct GroupProbe {
     pub(crate) verdict: Verdict,
-    /// The members that didn't answer, or have ended.
+    /// The members that didn't answer, or have exited.
     pub(crate) silent: Vec<EndpointId>,
 }
 
-/// Asks a group's members and judges it.
-pub(crate) async fn examine(beliefs: &Beliefs, client: &HttpClient, key: &GroupKey) -> Examined {
+/// Probes the members of a group, writes the finding to the decision log and returns the verdict.
+pub(crate) async fn probe_group(
+    beliefs: &Beliefs,
+    client: &HttpClient,
+    key: &GroupKey,
+) -> GroupProbe {
     let directory = beliefs.directory.load_full();
-    let (finding, silent) = ask_members(beliefs, &directory, client, key).await;
+    let (finding, silent) = probe_members(beliefs, &directory, client, key).await;
     let verdict = judge(&finding);
     let others: Vec<String> = finding.others.iter().map(ToString::to_string).collect();
     beliefs.events.write(&Event::GroupExamined {
@@ -84,24 +90,24 @@
         verdict: &verdict.to_string(),
         finding: &format!("head {}; members {}", finding.head, others.join(", ")),
     });
-    Examined { verdict, silent }
+    GroupProbe { verdict, silent }
 }
 
-/// Asks a group's head alone.
-pub(crate) async fn ask_head(
+/// Probes only the head of a group.
+pub(crate) async fn probe_head(
     beliefs: &Beliefs,
     client: &HttpClient,
     key: &GroupKey,
 ) -> MemberProbe {
     let directory = beliefs.directory.load_full();
-    match head_of(&directory, key) {
-        Some(head) => ask(client, &head, key).await,
+    match group_head(&directory, key) {
+        Some(head) => probe_member(client, &head, key).await,
         None => MemberProbe::Silent,
     }
 }
 
-/// Returns the head of a group, also one that has left the registry lately.
-pub(crate) fn head_of(directory: &Directory, key: &GroupKey) -> Option<Arc<Endpoint>> {
+/// Returns the head of a group, including one that left the registry a short time ago.
+pub(crate) fn group_head(directory: &Directory, key: &GroupKey) -> Option<Arc<Endpoint>> {
     let mut members = directory.members(key);
     let head = members.find(|member| {
         let role = member.group.as_ref();
@@ -110,26 +116,28 @@
     head.cloned()
 }
 
-async fn ask_members(
+async fn probe_members(
     beliefs: &Beliefs,
     directory: &Directory,
     client: &HttpClient,
     key: &GroupKey,
 ) -> (Finding, Vec<EndpointId>) {
     let members: Vec<Arc<Endpoint>> = directory.members(key).cloned().collect();
-    let asked = members.iter().map(|member| ask(client, member, key));
-    let answers = join_all(asked).await;
+    let probes = members
+        .iter()
+        .map(|member| probe_member(client, member, key));
+    let probes = join_all(probes).await;
     let mut head = MemberProbe::Silent;
     let mut others = Vec::new();
     let mut silent = Vec::new();
-    for (member, answer) in members.iter().zip(answers) {
-        if answer == MemberProbe::Silent {
+    for (member, probe) in members.iter().zip(probes) {
+        if probe == MemberProbe::Silent {
             silent.push(member.id.clone());
         }
         if member.group.as_ref().is_some_and(|role| role.rank == 0) {
-            head = answer;
+            head = probe;
         } else {
-            others.push(answer);
+            others.push(probe);
         }
     }
     let size = group_size(beliefs, &members);
@@ -147,15 +155,18 @@
     let sizes = members.iter().filter_map(|member| {
         let spec = catalog.services.get(&member.service)?.engine.as_ref()?;
         let model = member.models.first()?;
-        let model = spec.models.iter().find(|known| known.model == *model)?;
+        let model = spec
+            .models
+            .iter()
+            .find(|candidate| candidate.model == *model)?;
         Some(model.group_size)
     });
     sizes.max().unwrap_or(0)
 }
 
-async fn ask(client: &HttpClient, member: &Endpoint, key: &GroupKey) -> MemberProbe {
-    for _ in 0..QUESTIONS {
-        let Ok(report) = report(client, member.address, ANSWER_LIMIT).await else {
+async fn probe_member(client: &HttpClient, member: &Endpoint, key: &GroupKey) -> MemberProbe {
+    for _ in 0..MAX_PROBES {
+        let Ok(report) = report(client, member.address, PROBE_TIMEOUT).await else {
             continue;
         };
         return match report.group {
