--- a/crates/sesamecart-entry/src/clock.rs
+++ b/crates/sesamecart-entry/src/clock.rs
@@ -1,12 +1,12 @@
-//! The clock by which beliefs age.
+//! The clock that measures the age of a node's state.
 
 use rustix::time::{ClockId, clock_gettime};
 use sesamecart_vocabulary::Timestamp;
 
-/// Returns the time since the machine started, the time that it was suspended included.
+/// Returns the time since the machine booted, including the time that it was suspended.
 ///
-/// The steady clock stands still while a VM is suspended. A node that measured the age of what it
-/// knows by it would wake after seconds and act on its old beliefs as if they were new.
+/// The monotonic clock stops while a VM is suspended. A node that measured ages with it would resume after
+/// seconds and act on its old state as if it were fresh.
 pub(crate) fn now() -> Timestamp {
     let time = clock_gettime(ClockId::Boottime);
     let seconds = u64::try_from(time.tv_sec).unwrap_or_default();
--- a/crates/sesamecart-entry/src/events.rs
+++ b/crates/sesamecart-entry/src/events.rs
@@ -1,4 +1,4 @@
-//! The decision log: JSON lines on standard output that explain afterwards what a node did and why.
+//! The decision log: JSON lines on standard output that record what a node did and why.
 //!
 //! docs/logs.md lists the events and their fields.
 
@@ -11,19 +11,19 @@
 use serde::Serialize;
 use sesamecart_vocabulary::{NodeId, Timestamp};
 
-/// Lines that may wait for the writer.
+/// Maximum number of lines that wait for the writer.
 ///
-/// A reader of the log that stalls must cost memory only up to here (about 1 MB);
-/// beyond it lines are dropped and counted, and requests go on.
-const QUEUE: usize = 4_096;
+/// It bounds the memory that a stalled reader of the log costs, to about 1 MB. Further lines are dropped and
+/// counted, and requests continue.
+const QUEUE_CAPACITY: usize = 4_096;
 
-/// Lines of plain successes that are written in a second; the others are only counted.
+/// Maximum number of lines for successful requests that are written per second; the others are only counted.
 ///
-/// Nodes of a large deployment have fewer, so all are written there; in a burst on few nodes successes would
-/// crowd out the lines that explain failures.
-const SUCCESSES_PER_S: u64 = 40;
+/// Nodes of a large deployment have fewer successes, so all of them are written there. In a burst on few
+/// nodes, successes would crowd out the lines that explain failures.
+const MAX_SUCCESSES_PER_S: u64 = 40;
 
-/// One decision that touched a request, or one change of what the node believes.
+/// A decision about a request, or a change of the node's state.
 #[derive(Debug, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum Event<'a> {
@@ -32,71 +32,71 @@
         /// The program's version.
         version: &'a str,
     },
-    /// The process was told to leave.
+    /// The process has received the signal to shut down.
     Leaving {
-        /// Connections of callers that are open.
+        /// The number of open connections of callers.
         connections: usize,
     },
-    /// The process ends.
+    /// The process exits.
     Stopped {
-        /// Connections that were cut off.
+        /// The number of connections that were closed while still in use.
         cut_off: usize,
     },
     /// The settings file was read again.
     Reloaded {
-        /// What came of it.
+        /// The result.
         outcome: &'a str,
     },
-    /// A dependency doesn't answer any more.
+    /// A dependency stopped answering.
     DependencyLost {
-        /// Which one.
+        /// The name of the dependency.
         dependency: &'a str,
-        /// What failed.
+        /// The failure.
         cause: &'a str,
     },
     /// A dependency answers again.
     DependencyRegained {
-        /// Which one.
+        /// The name of the dependency.
         dependency: &'a str,
-        /// How long it was away.
+        /// How long it didn't answer, in milliseconds.
         away_ms: u64,
     },
-    /// A configuration is in force.
+    /// A configuration was put in force.
     ConfigurationApplied {
         /// Its version.
         version: u64,
-        /// The one before it.
+        /// The version before it.
         before: u64,
-        /// Its routes.
+        /// The number of its routes.
         routes: usize,
     },
-    /// A configuration in force holds something that can't be used as it stands.
+    /// The configuration in force contains something that can't be used as written.
     ConfigurationDoubtful {
         /// The service.
         service: &'a str,
-        /// What it is, and what is done instead.
+        /// The problem, and what the node does instead.
         problem: &'a str,
     },
-    /// What the engines are used for, every two seconds on the node that controls the groups.
+    /// How the engines are used, written every two seconds by the node that controls the groups.
     FleetCounted {
         /// The model.
         model: &'a str,
-        /// Its open groups.
+        /// The number of its open groups.
         open: usize,
-        /// Those of them that take requests: none in a failure domain that is evacuated.
+        /// The number of open groups that accept requests, so not those in an evacuated failure domain.
         reachable: usize,
-        /// Its groups that are being formed.
+        /// The number of its groups that are being formed.
         forming: usize,
-        /// Engines outside of groups that hold it.
+        /// The number of engines outside of groups that hold the model.
         spare: usize,
-        /// Engines that load it.
+        /// The number of engines that are loading the model.
         loading: usize,
-        /// Engines of the service that hold no model and load none.
+        /// The number of engines of the service that neither hold nor load a model.
         empty: usize,
-        /// Its groups that callers keep busy; nothing before that is known.
+        /// The number of its groups that callers keep busy, or `None` while there is no estimate yet.
         needed: Option<f64>,
     },
-    /// A group is closed, as its engines serve more in groups of another model.
+    /// A group is closed because its engines are of more use in groups of another model.
     GroupRetired {
         /// The group and its epoch.
         group: &'a str,
@@ -105,86 +105,87 @@
         /// The model that gets its engines.
         to: &'a str,
     },
-    /// A model has no groups, as no fabric domain has the engines for one; said once while it lasts.
+    /// A model has no groups because no fabric domain has enough engines for one. Written once while this
+    /// lasts.
     ModelUnservable {
         /// The model.
         model: &'a str,
-        /// The engines that a group of it needs.
+        /// The number of engines in a group of the model.
         group_size: usize,
-        /// The engines of the largest fabric domain.
+        /// The number of engines in the largest fabric domain.
         engines: usize,
     },
-    /// How often this process has called the store, every ten seconds and at its end.
+    /// The number of calls of this process to the store, written every ten seconds and at exit.
     StoreCalled {
-        /// The calls of each kind since the start.
+        /// The number of calls of each kind since the start.
         calls: &'a str,
     },
-    /// What the store says is heard from elsewhere now.
+    /// The node now gets the store's records from another source.
     SourceChanged {
-        /// The store, or the node that reads it.
+        /// The store, or the node that is followed.
         source: &'a str,
     },
-    /// All that the node followed now had to offer was taken in.
+    /// This node has received everything that the newly followed node had to send.
     CaughtUp {
         /// The node.
         source: &'a str,
-        /// Where the operator's topic was known up to before.
+        /// The offset up to which this node had the operator's topic before.
         operator_from: u64,
-        /// Where it is known up to now.
+        /// The offset up to which it has the operator's topic now.
         operator_next: u64,
-        /// The operator's records that came.
+        /// The number of records of the operator that were received.
         operator_records: usize,
-        /// Whether these were all of the operator's records.
+        /// Whether these are the operator's complete records.
         operator_whole: bool,
-        /// Where the registry was known up to before.
+        /// The offset up to which this node had the registry before.
         registry_from: u64,
-        /// Where it is known up to now.
+        /// The offset up to which it has the registry now.
         registry_next: u64,
-        /// The registry's records that came.
+        /// The number of records of the registry that were received.
         registry_records: usize,
-        /// Whether these were all of the registry's records.
+        /// Whether these are the registry's complete records.
         registry_whole: bool,
     },
-    /// A topic of the store was read whole.
+    /// A topic of the store was read completely.
     TopicReread {
         /// The topic.
         topic: &'a str,
-        /// Where it was known up to before.
+        /// The offset up to which this node had the topic before.
         known_to: u64,
-        /// Where it ends.
+        /// The end offset of the topic.
         end: u64,
-        /// Its records.
+        /// The number of its records.
         records: usize,
-        /// Those that are new to the nodes that follow this one.
+        /// The number of records that are new to the nodes that follow this one.
         changed: usize,
-        /// Keys that aren't there any more.
+        /// The number of keys that are no longer in the topic.
         gone: usize,
     },
-    /// A record or an answer couldn't be read or used.
+    /// A record or an answer couldn't be parsed or used.
     RecordIgnored {
-        /// Where it stands.
+        /// The topic or other source of it.
         topic: &'a str,
         /// Its key.
         key: &'a str,
-        /// Why.
+        /// The reason.
         cause: &'a str,
     },
-    /// The failure domains that get no new work have changed.
+    /// The set of evacuated failure domains, which get no new work, has changed.
     EvacuationChanged {
-        /// All of them now.
+        /// All failure domains that are evacuated now.
         failure_domains: &'a [String],
     },
-    /// An endpoint is known, or its state has changed.
+    /// An endpoint was discovered, or its state has changed.
     EndpointChanged {
         /// The endpoint.
         endpoint: &'a str,
         /// Its state.
         state: &'a str,
-        /// The fabric domain that it lies in.
+        /// The fabric domain that it is in.
         fabric_domain: &'a str,
         /// The models on its host.
         staged: &'a str,
-        /// Its group and state there.
+        /// Its group, and its state in the group.
         group: &'a str,
     },
     /// An endpoint has left the registry.
@@ -192,22 +193,22 @@
         /// The endpoint.
         endpoint: &'a str,
     },
-    /// An endpoint gets nothing for a while.
+    /// An endpoint is ejected: it gets no requests for some time.
     EndpointRests {
         /// The endpoint.
         endpoint: &'a str,
         /// The request that failed last.
         request: &'a str,
-        /// For how long.
+        /// The duration of the ejection, in milliseconds.
         rest_ms: u64,
     },
-    /// The members of a group were asked.
+    /// The members of a group were probed.
     GroupExamined {
         /// The group and its epoch.
         group: &'a str,
-        /// What followed.
+        /// The verdict on the group.
         verdict: &'a str,
-        /// What the members said.
+        /// The results of the probes.
         finding: &'a str,
     },
     /// A group is being formed.
@@ -221,7 +222,7 @@
         /// The controller's fence.
         fence: u64,
     },
-    /// An engine got an order.
+    /// An order was sent to an engine.
     OrderGiven {
         /// The engine.
         endpoint: &'a str,
@@ -229,29 +230,29 @@
         order: &'a str,
         /// The controller's fence.
         fence: u64,
-        /// What came of it.
+        /// The outcome.
         outcome: &'a str,
     },
-    /// This node controls the groups, or doesn't any more.
+    /// This node started or stopped controlling the groups.
     ControlChanged {
-        /// Whether it does.
+        /// Whether it controls the groups now.
         leads: bool,
-        /// Its fence, or that of the group it left.
+        /// Its fence, or the last one that it held.
         fence: u64,
-        /// Why.
+        /// The reason.
         reason: &'a str,
     },
-    /// A request was passed to an endpoint.
+    /// A request was forwarded to an endpoint.
     Sent {
         /// The request.
         request: &'a str,
         /// The endpoint.
         endpoint: &'a str,
-        /// The attempt, from 1 on.
+        /// The number of the attempt, starting at 1.
         attempt: u32,
-        /// The endpoint's guessed load, in requests for each slot.
+        /// The estimated load of the endpoint, in requests per slot.
         load: f64,
-        /// The version of the configuration that decided.
+        /// The version of the configuration that was used.
         configuration: u64,
     },
     /// An attempt failed.
@@ -260,78 +261,78 @@
         request: &'a str,
         /// The endpoint.
         endpoint: &'a str,
-        /// What failed.
+        /// The failure.
         cause: &'a str,
-        /// Whether it may have run.
+        /// Whether the endpoint may have executed the request.
         may_have_run: bool,
         /// Milliseconds since the request arrived.
         after_ms: u64,
     },
-    /// A request got an answer of the node's own.
+    /// The node answered a request itself, without an endpoint.
     Refused {
         /// The request.
         request: &'a str,
-        /// The status.
+        /// The HTTP status.
         status: u16,
-        /// Why.
+        /// The reason.
         cause: &'a str,
-        /// Milliseconds after which the caller may come back.
+        /// Milliseconds after which the caller may retry.
         retry_after_ms: Option<u64>,
-        /// The version of the configuration that decided.
+        /// The version of the configuration that was used.
         configuration: u64,
-        /// The age of that configuration.
+        /// The age of that configuration, in milliseconds.
         configuration_age_ms: Option<u64>,
         /// Milliseconds since the request arrived.
         after_ms: u64,
     },
-    /// A request got an endpoint's answer, whole.
+    /// A request got the complete answer of an endpoint.
     Answered {
         /// The request.
         request: &'a str,
         /// The endpoint.
         endpoint: &'a str,
-        /// The status.
+        /// The HTTP status.
         status: u16,
-        /// The attempts it took.
+        /// The number of attempts.
         attempts: u32,
-        /// Its route.
+        /// The route of the request.
         route: &'a str,
         /// Milliseconds to the answer, or to the first event.
         first_ms: u64,
         /// The longest pause between events, in milliseconds.
         pause_ms: u64,
-        /// Milliseconds in all.
+        /// The total time, in milliseconds.
         total_ms: u64,
     },
-    /// A stream went on at another endpoint.
+    /// A stream was resumed at another endpoint.
     Resumed {
         /// The request.
         request: &'a str,
-        /// The endpoint that it left.
+        /// The endpoint that sent the first part.
         from: &'a str,
-        /// The endpoint that goes on.
+        /// The endpoint that continues the stream.
         endpoint: &'a str,
-        /// The last event that the caller had.
+        /// The last event that the caller received.
         last_event: &'a str,
         /// Milliseconds since that event.
         pause_ms: u64,
     },
-    /// A stream ended before its end.
+    /// A stream was cut off before it was complete.
     Broken {
         /// The request.
         request: &'a str,
         /// The endpoint.
         endpoint: &'a str,
-        /// Why.
+        /// The reason.
         cause: &'a str,
         /// Milliseconds since the request arrived.
         after_ms: u64,
     },
-    /// The caller left before its answer was whole.
+    /// The caller disconnected before the answer was complete.
     CallerLeft {
         /// The request.
         request: &'a str,
-        /// The endpoint that worked for it.
+        /// The endpoint that was handling the request.
         endpoint: &'a str,
         /// Milliseconds since the request arrived.
         after_ms: u64,
@@ -347,47 +348,47 @@
 }
 
 #[derive(Serialize)]
-struct Lost {
+struct OmittedLines {
     event: &'static str,
     lines_dropped: u64,
     successes_not_written: u64,
 }
 
-/// The bounded queue to the thread that writes the log.
+/// The decision log: a bounded queue to the thread that writes it.
 #[derive(Debug)]
 pub struct EventLog {
     node: NodeId,
     lines: Sender<String>,
     dropped: AtomicU64,
-    successes: AtomicU64,
-    success_window: AtomicU64,
-    unwritten: AtomicU64,
+    successes_in_second: AtomicU64,
+    current_second: AtomicU64,
+    skipped_successes: AtomicU64,
 }
 
 impl EventLog {
-    /// Starts the writer; joining the handle returns once the log is dropped and all is written.
+    /// Starts the writer thread. It exits once the log is closed or dropped and all lines are written.
     ///
     /// # Errors
     ///
-    /// Returns the system's error when no thread can be started.
+    /// Returns the operating system's error if the thread can't be started.
     pub fn start(node: NodeId) -> std::io::Result<(Self, JoinHandle<()>)> {
-        let (lines, queue) = async_channel::bounded(QUEUE);
+        let (lines, queue) = async_channel::bounded(QUEUE_CAPACITY);
         let writer = std::thread::Builder::new().name("events".to_owned());
-        let writer = writer.spawn(move || write(&queue))?;
+        let writer = writer.spawn(move || write_batches(&queue))?;
         let log = Self {
             node,
             lines,
             dropped: AtomicU64::new(0),
-            successes: AtomicU64::new(0),
-            success_window: AtomicU64::new(0),
-            unwritten: AtomicU64::new(0),
+            successes_in_second: AtomicU64::new(0),
+            current_second: AtomicU64::new(0),
+            skipped_successes: AtomicU64::new(0),
         };
         Ok((log, writer))
     }
 
-    /// Writes an event, or counts it as dropped when the writer is behind.
+    /// Queues an event for the writer, or counts it as dropped if the queue is full.
     pub fn write(&self, event: &Event<'_>) {
-        self.tell_losses();
+        self.write_omitted();
         let line = Line {
             time_ms: unix_millis(),
             node: self.node.as_str(),
@@ -395,47 +396,47 @@
         };
         match serde_json::to_string(&line) {
             Ok(line) => self.push(line),
-            Err(error) => log::error!("events: an event can't be written: {error}."),
+            Err(error) => log::error!("events: an event can't be serialized: {error}."),
         }
     }
 
-    /// Writes a plain success, unless this second had many.
+    /// Writes the event of a successful request, unless too many were already written in this second.
     pub fn write_success(&self, now: Timestamp, event: &Event<'_>) {
         let second = now.as_millis() / 1_000;
-        if self.success_window.swap(second, Ordering::Relaxed) != second {
-            self.successes.store(0, Ordering::Relaxed);
+        if self.current_second.swap(second, Ordering::Relaxed) != second {
+            self.successes_in_second.store(0, Ordering::Relaxed);
         }
-        if self.successes.fetch_add(1, Ordering::Relaxed) < SUCCESSES_PER_S {
+        if self.successes_in_second.fetch_add(1, Ordering::Relaxed) < MAX_SUCCESSES_PER_S {
             self.write(event);
         } else {
-            self.unwritten.fetch_add(1, Ordering::Relaxed);
+            self.skipped_successes.fetch_add(1, Ordering::Relaxed);
         }
     }
 
-    /// Returns how many lines were dropped since the last line that told of it.
+    /// Returns the number of lines dropped since the last `lines_left_out` line.
     #[must_use]
     pub fn dropped(&self) -> u64 {
         self.dropped.load(Ordering::Relaxed)
     }
 
-    /// Lets the writer end once it has written what waits.
+    /// Closes the queue; the writer thread exits once it has written the queued lines.
     pub fn close(&self) {
         self.lines.close();
     }
 
-    fn tell_losses(&self) {
+    fn write_omitted(&self) {
         let dropped = self.dropped.load(Ordering::Relaxed);
-        let unwritten = self.unwritten.load(Ordering::Relaxed);
-        let has_room = self.lines.len() < QUEUE / 2;
-        if (dropped == 0 && unwritten < SUCCESSES_PER_S) || !has_room {
+        let skipped = self.skipped_successes.load(Ordering::Relaxed);
+        let has_room = self.lines.len() < QUEUE_CAPACITY / 2;
+        if (dropped == 0 && skipped < MAX_SUCCESSES_PER_S) || !has_room {
             return;
         }
-        let lost = Lost {
+        let omitted = OmittedLines {
             event: "lines_left_out",
             lines_dropped: self.dropped.swap(0, Ordering::Relaxed),
-            successes_not_written: self.unwritten.swap(0, Ordering::Relaxed),
+            successes_not_written: self.skipped_successes.swap(0, Ordering::Relaxed),
         };
-        if let Ok(line) = serde_json::to_string(&lost) {
+        if let Ok(line) = serde_json::to_string(&omitted) {
             self.push(line);
         }
     }
@@ -447,11 +448,11 @@
     }
 }
 
-/// Writes lines in batches, which spares a system call for each.
+/// Writes lines in batches, to avoid a system call per line.
 ///
-/// Standard output is locked for a batch at a time: a second node of the process, as in tests, would
-/// wait for it until the first one has ended.
-fn write(queue: &Receiver<String>) {
+/// Standard output is locked for one batch at a time only. Otherwise a second node in the process, as in
+/// tests, would wait until the first one has exited.
+fn write_batches(queue: &Receiver<String>) {
     let mut out = std::io::stdout();
     while let Ok(line) = queue.recv_blocking() {
         let mut batch = line;
@@ -460,15 +461,15 @@
             batch.push_str(&line);
             batch.push('\n');
         }
-        // When nobody reads standard output any more there is nowhere else to say so.
-        let _lost = out.write_all(batch.as_bytes()).and_then(|()| out.flush());
-        // Lines come in bursts: a short rest gathers them into one write.
-        std::thread::sleep(BATCH);
+        // If standard output is closed, there is no other place to report it.
+        let _result = out.write_all(batch.as_bytes()).and_then(|()| out.flush());
+        // Lines arrive in bursts; a short delay collects them into one write.
+        std::thread::sleep(BATCH_DELAY);
     }
 }
 
-/// How long lines are gathered before they are written.
-const BATCH: Duration = Duration::from_millis(50);
+/// How long lines are collected before they are written.
+const BATCH_DELAY: Duration = Duration::from_millis(50);
 
 fn unix_millis() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
--- a/crates/sesamecart-entry/src/lib.rs
+++ b/crates/sesamecart-entry/src/lib.rs
@@ -1,8 +1,8 @@
-//! A node on the users' platform.
+//! A node that routes requests on the users' platform.
 //!
-//! One thread follows the store and, on one node at a time, controls the serving groups; another
-//! carries callers' requests. They share [`Beliefs`]: what this node knows, and how old it is.
-//! docs/design/platform-run.md says why it is so.
+//! The control thread follows the store and, on one node at a time, controls the serving groups. The traffic
+//! thread forwards the requests of callers. They share [`Beliefs`]: the state of the node and its age.
+//! docs/design/platform-run.md explains the design.
 
 mod beliefs;
 mod clock;
--- a/crates/sesamecart-entry/src/metrics.rs
+++ b/crates/sesamecart-entry/src/metrics.rs
@@ -1,4 +1,4 @@
-//! What a node counts; docs/metrics.md lists it.
+//! The metrics of a node; docs/metrics.md lists them.
 
 use std::sync::{Mutex, PoisonError};
 use std::time::Duration;
@@ -10,31 +10,31 @@
 use prometheus::{Encoder as _, Registry, TextEncoder};
 use sesamecart_platform::{StoreStep, Topic};
 
-/// The counters of one node.
+/// The metrics of one node.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
-    /// Keeps the instruments alive.
+    /// Held to keep the instruments alive.
     _provider: SdkMeterProvider,
     answers: Counter<u64>,
     attempts_failed: Counter<u64>,
     resumed: Counter<u64>,
     store_calls: Counter<u64>,
-    /// The same for the log.
-    store_called: Mutex<IndexMap<(StoreStep, Topic), u64>>,
+    /// The calls to the store by step and topic, for the decision log.
+    store_call_counts: Mutex<IndexMap<(StoreStep, Topic), u64>>,
     store_failures: Counter<u64>,
     orders: Counter<u64>,
     groups_lost: Counter<u64>,
     models_unservable: Gauge<u64>,
     domains_evacuated: Gauge<u64>,
-    first: Histogram<f64>,
+    first_response: Histogram<f64>,
 }
 
-/// Bounds of the buckets of the time to an answer, in seconds; callers are promised 0.1 to 0.4.
-const FIRST_BOUNDS: [f64; 10] = [0.01, 0.03, 0.06, 0.1, 0.15, 0.2, 0.3, 0.4, 1.0, 5.0];
+/// Histogram buckets of the time to the first response, in seconds. Callers are promised 0.1 to 0.4.
+const FIRST_RESPONSE_BUCKETS_S: [f64; 10] = [0.01, 0.03, 0.06, 0.1, 0.15, 0.2, 0.3, 0.4, 1.0, 5.0];
 
 impl Metrics {
-    /// Makes counters that start at zero.
+    /// Creates metrics that start at zero.
     ///
     /// # Errors
     ///
@@ -66,7 +66,7 @@
                 "sesamecart.store.calls",
                 "Calls to the store, by step and topic.",
             ),
-            store_called: Mutex::default(),
+            store_call_counts: Mutex::default(),
             store_failures: counter("sesamecart.store.failures", "Failed calls to the store."),
             orders: counter("sesamecart.orders", "Orders to engines, by outcome."),
             groups_lost: counter(
@@ -83,22 +83,22 @@
                     "Failure domains that get no new work, as far as this node knows.",
                 )
                 .build(),
-            first: meter
+            first_response: meter
                 .f64_histogram("sesamecart.first.seconds")
                 .with_description("Time from a request's arrival to its answer's first sign.")
-                .with_boundaries(FIRST_BOUNDS.to_vec())
+                .with_boundaries(FIRST_RESPONSE_BUCKETS_S.to_vec())
                 .build(),
             registry,
             _provider: provider,
         };
-        metrics.touch();
+        metrics.init();
         Ok(metrics)
     }
 
-    /// Gives each counter a first value, so that all of them are exported from the start.
+    /// Records a zero in each counter and gauge, so that all of them are exported from the start.
     ///
-    /// A counter that appears only with its first failure can't be told from one that was renamed.
-    fn touch(&self) {
+    /// A counter that only appears with the first failure can't be distinguished from one that was renamed.
+    fn init(&self) {
         self.answers.add(0, &[]);
         self.attempts_failed.add(0, &[]);
         self.resumed.add(0, &[]);
@@ -133,20 +133,20 @@
             KeyValue::new("topic", topic.to_string()),
         ];
         self.store_calls.add(1, &labels);
-        let mut called = self
-            .store_called
+        let mut counts = self
+            .store_call_counts
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        *called.entry((step, topic)).or_default() += 1;
+        *counts.entry((step, topic)).or_default() += 1;
     }
 
-    /// Returns the calls to the store so far, as a text; nothing before the first.
-    pub(crate) fn store_called(&self) -> Option<String> {
-        let called = self
-            .store_called
+    /// Returns the calls to the store so far as text, or `None` before the first call.
+    pub(crate) fn store_call_summary(&self) -> Option<String> {
+        let counts = self
+            .store_call_counts
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        let parts = called
+        let parts = counts
             .iter()
             .map(|((step, topic), calls)| format!("{step} {topic} {calls}"));
         let parts: Vec<String> = parts.collect();
@@ -174,10 +174,10 @@
     }
 
     pub(crate) fn record_first(&self, taken: Duration) {
-        self.first.record(taken.as_secs_f64(), &[]);
+        self.first_response.record(taken.as_secs_f64(), &[]);
     }
 
-    /// Writes all counters in Prometheus's text format.
+    /// Renders all metrics in the Prometheus text format.
     ///
     /// # Errors
     ///
--- a/crates/sesamecart-entry/src/node.rs
+++ b/crates/sesamecart-entry/src/node.rs
@@ -1,4 +1,4 @@
-//! One node on the platform: its threads, started and joined together.
+//! Starts and stops the threads of one node.
 
 use std::net::{SocketAddr, TcpListener};
 use std::path::Path;
@@ -28,26 +28,26 @@
 use crate::settings::EntrySettings;
 use crate::{traffic, watch};
 
-/// How long the balancer takes to notice that a node isn't ready: it asks once a second and takes a
-/// node out after two misses.
-const BALANCER_NOTICE: Duration = Duration::from_millis(2_200);
+/// How long the load balancer takes to notice that a node isn't ready: it checks once a second and removes a
+/// node after two failed checks.
+const BALANCER_REMOVAL_TIME: Duration = Duration::from_millis(2_200);
 
-/// What is kept of the time until the SIGKILL, to join threads and write the log.
-const EXIT_MARGIN: Duration = Duration::from_millis(500);
+/// Part of the time until the SIGKILL that is reserved for joining threads and writing the log.
+const EXIT_RESERVE: Duration = Duration::from_millis(500);
 
-/// How often a leaving node looks whether its requests have ended.
-const LEAVE_POLL: Duration = Duration::from_millis(20);
+/// Interval at which a leaving node checks whether its requests have ended.
+const LEAVE_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How long a call to the store may take beyond what it asks the store to wait.
-const STORE_LIMIT: Duration = Duration::from_millis(900);
+/// Timeout of a call to the store, in addition to the time that the call asks the store to wait.
+const STORE_CALL_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// How often the calls to the store are logged.
-const STORE_CALLS_EVERY: Duration = Duration::from_secs(10);
+/// Interval at which the calls to the store are logged.
+const STORE_CALLS_LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// How long a connection for control may take to open.
-const CONTROL_CONNECT_LIMIT: Duration = Duration::from_millis(250);
+/// Timeout for opening a connection from the control thread.
+const CONTROL_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// A node couldn't start.
+/// The error when a node can't start.
 #[derive(Debug, Display, Error)]
 #[display("node {node}: {step}: {reason}")]
 pub struct StartError {
@@ -69,13 +69,13 @@
     log_writer: Option<JoinHandle<()>>,
 }
 
-/// The listeners of a node, bound before any thread starts.
+/// The listeners of a node. They are bound before any thread starts.
 struct Listeners {
     callers: TcpListener,
     control: ControlListeners,
 }
 
-/// Those of the control thread.
+/// The listeners of the control thread.
 struct ControlListeners {
     readiness: TcpListener,
     metrics: TcpListener,
@@ -104,7 +104,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error that names the node and the step, such as an address that is taken.
+    /// Returns an error that names the node and the step that failed, for example when an address is in use.
     pub fn start(mut settings: EntrySettings) -> Result<Self, StartError> {
         let node = settings.node.clone();
         let error = |step, reason: anyhow::Error| StartError {
@@ -117,7 +117,7 @@
         let callers = callers.map_err(|reason| error("listen", reason.into()))?;
         let readiness = listeners.control.readiness.local_addr();
         let readiness = readiness.map_err(|reason| error("listen", reason.into()))?;
-        // Other nodes are told of the address, which may have been left to the system to choose.
+        // Other nodes get this address. With port 0 in the settings, the system has chosen the port.
         let links = listeners.control.links.local_addr();
         settings.links = links.map_err(|reason| error("listen", reason.into()))?;
         let (events, log_writer) = EventLog::start(node.clone())
@@ -143,45 +143,46 @@
         })
     }
 
-    /// Returns where callers connect.
+    /// Returns the address that callers connect to.
     #[must_use]
     pub const fn callers(&self) -> SocketAddr {
         self.callers
     }
 
-    /// Returns where the balancer asks.
+    /// Returns the address of the readiness check.
     #[must_use]
     pub const fn readiness(&self) -> SocketAddr {
         self.readiness
     }
 
-    /// Returns what the node's threads share.
+    /// Returns the state that the node's threads share.
     #[must_use]
     pub const fn beliefs(&self) -> &Arc<Beliefs> {
         &self.beliefs
     }
 
-    /// Leaves: says that it isn't ready, lets the balancer notice, lets requests in flight end and
-    /// joins all threads; returns the number of connections that were cut off.
+    /// Shuts down gracefully: reports that the node isn't ready, waits until the load balancer has noticed
+    /// and requests in flight have ended, and joins all threads. Returns the number of connections that were
+    /// cut off.
     pub async fn leave(mut self) -> usize {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         self.beliefs.set_leaving();
         self.beliefs.events.write(&Event::Leaving {
             connections: self.beliefs.connections.open(),
         });
         let grace = self.beliefs.settings.bounds.shutdown_grace();
-        let limit = grace.saturating_sub(EXIT_MARGIN);
-        sleep(BALANCER_NOTICE.min(limit / 2)).await;
+        let limit = grace.saturating_sub(EXIT_RESERVE);
+        sleep(BALANCER_REMOVAL_TIME.min(limit / 2)).await;
         self.leave.give();
-        while begun.elapsed() < limit && self.beliefs.connections.open() > 0 {
-            sleep(LEAVE_POLL).await;
+        while started_at.elapsed() < limit && self.beliefs.connections.open() > 0 {
+            sleep(LEAVE_POLL_INTERVAL).await;
         }
         let cut_off = self.beliefs.connections.open();
         self.stop(cut_off);
         cut_off
     }
 
-    /// Stops at once, as a crash would; requests in flight are cut off.
+    /// Stops immediately, as in a crash; requests in flight are cut off.
     pub fn kill(mut self) {
         let cut_off = self.beliefs.connections.open();
         self.stop(cut_off);
@@ -196,15 +197,15 @@
         if let Some(writer) = self.log_writer.take()
             && writer.join().is_err()
         {
-            log::error!("node: the log's writer panicked.");
+            log::error!("node: the log writer panicked.");
         }
     }
 
-    /// Reads the settings file again and says what came of it.
+    /// Reads the settings file again and logs the result. No setting takes effect before a restart.
     fn reload(&self, path: &Path) {
         let outcome = match EntrySettings::read(path) {
             Ok(settings) if settings == self.beliefs.settings => "nothing has changed".to_owned(),
-            // Addresses and names can't change under open connections.
+            // Addresses and names can't change while connections are open.
             Ok(_) => "the new settings take effect at the next start".to_owned(),
             Err(error) => format!("the settings stay as they are: {error}"),
         };
@@ -214,11 +215,11 @@
     }
 }
 
-/// Runs a node until it is told to leave; returns the number of connections that it cut off.
+/// Runs a node until a SIGTERM or SIGINT; returns the number of connections that were cut off.
 ///
 /// # Errors
 ///
-/// Returns why it couldn't start.
+/// Returns an error if the node can't start.
 pub fn run(path: &Path, settings: EntrySettings) -> anyhow::Result<usize> {
     let mut signals = Signals::new([SystemSignal::Term, SystemSignal::Int, SystemSignal::Hup])?;
     let entry = Entry::start(settings)?;
@@ -237,11 +238,16 @@
 fn start_control(beliefs: &Arc<Beliefs>, listeners: ControlListeners) -> std::io::Result<Worker> {
     let worker = Worker::start("control")?;
     let tasks = worker.tasks().clone();
-    let client = HttpClient::new(tasks.clone(), CONTROL_CONNECT_LIMIT);
+    let client = HttpClient::new(tasks.clone(), CONTROL_CONNECT_TIMEOUT);
     let store = {
-        let counted = Arc::clone(beliefs);
-        let called = move |step, topic| counted.metrics.count_store_call(step, topic);
-        Store::new(client.clone(), beliefs.settings.store, STORE_LIMIT, called)
+        let state = Arc::clone(beliefs);
+        let on_call = move |step, topic| state.metrics.count_store_call(step, topic);
+        Store::new(
+            client.clone(),
+            beliefs.settings.store,
+            STORE_CALL_TIMEOUT,
+            on_call,
+        )
     };
     tasks.spawn(log_store_calls(Arc::clone(beliefs)));
     let (change_tx, registry_changed) = async_channel::bounded(1);
@@ -278,27 +284,28 @@
         lost_groups,
     };
     tasks.spawn(controller.run());
-    serve_pages(beliefs, listeners.readiness, &worker, ready);
-    serve_pages(beliefs, listeners.metrics, &worker, show_metrics);
+    serve_page(beliefs, listeners.readiness, &worker, readiness_page);
+    serve_page(beliefs, listeners.metrics, &worker, metrics_page);
     Ok(worker)
 }
 
-/// Logs the calls to the store until the task is cancelled; a process that is killed has said most.
+/// Logs the calls to the store at an interval until the task is cancelled, so that most of them are in the
+/// log even if the process is killed.
 async fn log_store_calls(beliefs: Arc<Beliefs>) {
     loop {
-        sleep(STORE_CALLS_EVERY).await;
+        sleep(STORE_CALLS_LOG_INTERVAL).await;
         write_store_calls(&beliefs);
     }
 }
 
 fn write_store_calls(beliefs: &Beliefs) {
-    if let Some(calls) = beliefs.metrics.store_called() {
+    if let Some(calls) = beliefs.metrics.store_call_summary() {
         beliefs.events.write(&Event::StoreCalled { calls: &calls });
     }
 }
 
-/// Serves one page, whatever the path, until the thread stops.
-fn serve_pages(
+/// Serves the same page for every path until the thread stops.
+fn serve_page(
     beliefs: &Arc<Beliefs>,
     listener: TcpListener,
     worker: &Worker,
@@ -307,20 +314,20 @@
     let tasks = worker.tasks().clone();
     let beliefs = Arc::clone(beliefs);
     tasks.clone().spawn(async move {
-        // The balancer asks until the process is gone, so nothing ends this but the thread's stop.
-        let (_never, until) = Signal::new();
+        // The load balancer checks readiness until the process exits, so this ends only with the thread.
+        let (_trigger, until) = Signal::new();
         let handle = move |_req: Request<Incoming>, _peer| future::ready(page(&beliefs));
         let limits = ServerLimits::default;
         let connections = Connections::default();
-        let served =
+        let serving =
             sesamecart_edges::serve(listener, None, limits, tasks, connections, until, handle);
-        if let Err(error) = served.await {
-            log::error!("node: a page can't be served: {error}.");
+        if let Err(error) = serving.await {
+            log::error!("node: the page listener failed: {error}.");
         }
     });
 }
 
-fn ready(beliefs: &Beliefs) -> Response<CallerBody> {
+fn readiness_page(beliefs: &Beliefs) -> Response<CallerBody> {
     let Some(reason) = beliefs.unready_reason() else {
         return Response::new(whole("ready\n"));
     };
@@ -329,11 +336,11 @@
     response
 }
 
-fn show_metrics(beliefs: &Beliefs) -> Response<CallerBody> {
+fn metrics_page(beliefs: &Beliefs) -> Response<CallerBody> {
     match beliefs.metrics.render() {
         Ok(text) => Response::new(whole(text)),
         Err(error) => {
-            log::error!("node: the metrics can't be written: {error}.");
+            log::error!("node: the metrics can't be rendered: {error}.");
             let mut response = Response::new(whole("the metrics can't be written\n"));
             *response.status_mut() = StatusCode::INTERNAL_SERVER_ERROR;
             response
--- a/crates/sesamecart-entry/src/settings.rs
+++ b/crates/sesamecart-entry/src/settings.rs
@@ -1,4 +1,4 @@
-//! A node's settings on the platform: what it must know before it can reach the store.
+//! The settings of a node: everything that it needs before it can reach the store.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -15,47 +15,48 @@
 pub struct EntrySettings {
     /// The node's name, unique among all nodes.
     pub node: NodeId,
-    /// The failure domain that its VM lies in.
+    /// The failure domain of its VM.
     pub failure_domain: FailureDomainId,
-    /// The region that its VM lies in.
+    /// The region of its VM.
     pub region: RegionId,
-    /// Where callers connect.
+    /// The address that callers connect to.
     pub callers: SocketAddr,
-    /// Where the platform's balancer asks whether the node is ready.
+    /// The address that the platform's load balancer checks for readiness.
     pub readiness: SocketAddr,
-    /// Where metrics are read.
+    /// The address that serves the metrics.
     pub metrics: SocketAddr,
-    /// Where other nodes connect.
+    /// The address for links from other nodes.
     pub links: SocketAddr,
-    /// The part of a core that the node may use; those with the most read the store for the others.
+    /// The share of a core that the node may use. The nodes with the largest shares read the store for the
+    /// others.
     pub processor_share: f64,
-    /// The platform's store.
+    /// The address of the platform's store.
     pub store: SocketAddr,
-    /// Whether the whole deployment starts for the first time, and not this process alone.
+    /// Whether the whole deployment starts for the first time, rather than only this process.
     pub first_start: bool,
-    /// Bounds that the operator sets for all nodes.
+    /// Limits that the operator sets for all nodes.
     pub bounds: OperatorBounds,
 }
 
-/// Bounds that the operator sets for all nodes.
+/// Limits that the operator sets for all nodes.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct OperatorBounds {
-    /// Milliseconds after which a key that was taken away may not work any more.
+    /// Milliseconds after which a revoked key must be refused.
     pub key_revocation_ms: u64,
-    /// Milliseconds in which a configuration has to be in force.
+    /// Milliseconds within which a new configuration must be in force.
     pub configuration_ms: u64,
-    /// Milliseconds that a group stands still after a loss before its head gives up.
+    /// Milliseconds that a group stalls after the loss of a member before its head gives up.
     pub group_stall_ms: u64,
-    /// Seconds between a SIGTERM and the SIGKILL.
+    /// Seconds between the SIGTERM and the SIGKILL.
     pub leave_s: f64,
-    /// Retries that each request earns.
+    /// Retries that each request adds to the retry budget.
     pub retry_ratio: f64,
-    /// Retries that all nodes together may send beyond that.
+    /// Retries that all nodes together may send in addition.
     pub retry_burst: f64,
     /// Milliseconds between two heartbeats of an endpoint.
     pub heartbeat_ms: u64,
-    /// Milliseconds that a member of a store's group is kept at least.
+    /// Minimum time that the store keeps a member of a group without a renewal, in milliseconds.
     pub lease_least_ms: u64,
 }
 
@@ -69,21 +70,21 @@
         }
     }
 
-    /// Returns the time between a SIGTERM and the SIGKILL.
+    /// Returns the time between the SIGTERM and the SIGKILL.
     #[must_use]
     pub fn shutdown_grace(&self) -> Duration {
-        // Settings with another value don't pass their check.
+        // The validation of the settings rejects values for which the conversion fails.
         Duration::try_from_secs_f64(self.leave_s).unwrap_or_default()
     }
 
-    /// Returns how long a group stands still before its head gives up.
+    /// Returns how long a group stalls before its head gives up.
     #[must_use]
     pub const fn group_stall(&self) -> Duration {
         Duration::from_millis(self.group_stall_ms)
     }
 }
 
-/// Why settings can't be used.
+/// The reason why settings can't be used.
 #[derive(Debug, Error)]
 pub enum SettingsError {
     /// The file can't be read.
@@ -91,20 +92,20 @@
     Read {
         /// The file.
         path: PathBuf,
-        /// What the system said.
+        /// The operating system's error.
         source: std::io::Error,
     },
-    /// The file isn't JSON of the right shape.
+    /// The file isn't valid JSON or doesn't have the expected fields.
     #[error("{}: {field}: {source}", path.display())]
     Shape {
         /// The file.
         path: PathBuf,
-        /// The field, as a path from the top; `.` for the file as a whole.
+        /// The path of the field from the root; `.` for the whole file.
         field: String,
-        /// What the reader said, with line and column.
+        /// The deserializer's error, with line and column.
         source: serde_json::Error,
     },
-    /// A field's value can't be used.
+    /// The value of a field is invalid.
     #[error("{}: {field}: {value}: {reason}", path.display())]
     Value {
         /// The file.
@@ -113,13 +114,13 @@
         field: &'static str,
         /// The value.
         value: String,
-        /// Why it can't be used.
+        /// Why the value is invalid.
         reason: &'static str,
     },
 }
 
 impl EntrySettings {
-    /// Reads and checks the settings in a file.
+    /// Reads and validates the settings in a file.
     ///
     /// # Errors
     ///
@@ -133,24 +134,25 @@
         Self::parse(path, &text)
     }
 
-    /// Reads and checks settings from text; `path` only names it in errors.
+    /// Parses and validates settings from text; `path` is only used in errors.
     ///
     /// # Errors
     ///
     /// Returns an error that names the file, the field and the value that can't be used.
     pub fn parse(path: &Path, text: &str) -> Result<Self, SettingsError> {
-        let reader = &mut serde_json::Deserializer::from_str(text);
-        let settings: Self =
-            serde_path_to_error::deserialize(reader).map_err(|error| SettingsError::Shape {
+        let deserializer = &mut serde_json::Deserializer::from_str(text);
+        let settings: Self = serde_path_to_error::deserialize(deserializer).map_err(|error| {
+            SettingsError::Shape {
                 path: path.to_owned(),
                 field: error.path().to_string(),
                 source: error.into_inner(),
-            })?;
-        settings.check(path)?;
+            }
+        })?;
+        settings.validate(path)?;
         Ok(settings)
     }
 
-    fn check(&self, path: &Path) -> Result<(), SettingsError> {
+    fn validate(&self, path: &Path) -> Result<(), SettingsError> {
         let error = |field, value: String, reason| {
             Err(SettingsError::Value {
                 path: path.to_owned(),
@@ -160,14 +162,14 @@
             })
         };
         let bounds = &self.bounds;
-        let positive = [
+        let positive_fields = [
             ("bounds.key_revocation_ms", bounds.key_revocation_ms),
             ("bounds.configuration_ms", bounds.configuration_ms),
             ("bounds.group_stall_ms", bounds.group_stall_ms),
             ("bounds.heartbeat_ms", bounds.heartbeat_ms),
             ("bounds.lease_least_ms", bounds.lease_least_ms),
         ];
-        for (field, value) in positive {
+        for (field, value) in positive_fields {
             if value == 0 {
                 return error(field, value.to_string(), "must be at least 1");
             }
--- a/crates/sesamecart-entry/src/testkit.rs
+++ b/crates/sesamecart-entry/src/testkit.rs
@@ -1,4 +1,4 @@
-//! What tests of several modules need.
+//! Helpers for the tests of several modules.
 
 use std::path::Path;
 
@@ -9,7 +9,7 @@
 use crate::metrics::Metrics;
 use crate::settings::EntrySettings;
 
-/// Makes the beliefs of a node `n1` that knows nothing yet.
+/// Creates the state of a node `n1` that has read nothing yet.
 pub(crate) fn beliefs(first_start: bool) -> Beliefs {
     let text = json!({
         "node": "n1", "failure_domain": "a", "region": "r",
@@ -23,11 +23,12 @@
         },
     });
     let settings = EntrySettings::parse(Path::new("settings.json"), &text.to_string());
-    let settings = settings.expect("the settings are valid");
-    let (events, _writer) = EventLog::start(settings.node.clone()).expect("a thread starts");
+    let settings = settings.expect("the settings should be valid");
+    let (events, _writer) =
+        EventLog::start(settings.node.clone()).expect("the log thread should start");
     Beliefs::new(
         settings,
         events,
-        Metrics::new().expect("they can be set up"),
+        Metrics::new().expect("the metrics should be set up"),
     )
 }
--- a/crates/sesamecart-entry/src/watch.rs
+++ b/crates/sesamecart-entry/src/watch.rs
@@ -126,18 +126,18 @@
     let probes = members
         .iter()
         .map(|member| probe_member(client, member, key));
-    let probes = join_all(probes).await;
+    let results = join_all(probes).await;
     let mut head = MemberProbe::Silent;
     let mut others = Vec::new();
     let mut silent = Vec::new();
-    for (member, probe) in members.iter().zip(probes) {
-        if probe == MemberProbe::Silent {
+    for (member, result) in members.iter().zip(results) {
+        if result == MemberProbe::Silent {
             silent.push(member.id.clone());
         }
         if member.group.as_ref().is_some_and(|role| role.rank == 0) {
-            head = probe;
+            head = result;
         } else {
-            others.push(probe);
+            others.push(result);
         }
     }
     let size = group_size(beliefs, &members);
