--- a/crates/sesamecart-decisions/src/admission.rs
+++ b/crates/sesamecart-decisions/src/admission.rs
@@ -1,17 +1,18 @@
-//! Who is let in, who waits and who is refused, in one pool of endpoints at one node.
+//! Admission control: starts, queues or refuses requests to one pool of endpoints at one node.
 //!
-//! It answers a burst, saturation, a customer that floods, and long work among short:
+//! Admission handles bursts, saturation, a customer that floods the pool, and a mix of long and short
+//! requests:
 //!
-//! - Classes are served in order; without it a queue of summaries holds a transfer back.
-//! - Inside a class, customers share by weight in tokens (start-time fair queueing); without it a
-//!   large customer's backlog is everybody's wait.
-//! - A request waits only while it can still meet its deadline, and is refused at once when it
-//!   can't; without it the queue fills with work that is of no use when it is done, and endpoints
-//!   spend their time on it.
-//! - Among one customer's requests a long one is ordered as if it had come later by its own length,
-//!   so that short ones pass it for that long and not for ever.
+//! - Classes are served in order of priority. Otherwise a queue of summaries would delay a transfer.
+//! - Within a class, customers share the capacity in tokens by weight (start-time fair queueing).
+//!   Otherwise all customers would wait for a large customer's backlog.
+//! - A request waits only while it can meet its deadline, and is refused as soon as it can't.
+//!   Otherwise the queue fills with requests whose responses arrive too late to be useful, and
+//!   endpoints waste time on them.
+//! - Among one customer's requests, a long one is ordered as if it had arrived later by its expected
+//!   duration. Short requests bypass it for that long, but not indefinitely.
 //!
-//! docs/policy.md tells why the thresholds are what they are.
+//! docs/policy.md explains the thresholds.
 
 mod drain;
 mod flow;
@@ -19,7 +20,7 @@
 mod request;
 
 pub use queue::Admission;
-pub use request::{Offer, Refusal, RefusalReason, Request, Ticket};
+pub use request::{AdmissionDecision, Refusal, RefusalReason, Request, Ticket};
 
 #[cfg(test)]
 mod tests;
--- a/crates/sesamecart-decisions/src/admission/flow.rs
+++ b/crates/sesamecart-decisions/src/admission/flow.rs
@@ -6,27 +6,27 @@
 
 use super::request::{Request, Ticket};
 
-/// The place of a request among its customer's: by arrival, set back by its own length.
+/// Orders the requests of one customer by arrival, delayed by each request's expected duration.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
-pub(super) struct Place {
-    pub(super) due: Timestamp,
+pub(super) struct QueueKey {
+    pub(super) effective_arrival: Timestamp,
     pub(super) ticket: Ticket,
 }
 
-/// A request that waits.
+/// A waiting request.
 #[derive(Clone, Debug)]
 pub(super) struct Waiting {
     pub(super) request: Request,
-    /// How often it didn't fit and another went first.
+    /// How often the request didn't fit and another one started instead.
     pub(super) bypasses: u32,
 }
 
-/// One customer's queue in one class, with its virtual start tag.
+/// One customer's queue in one class, with its start tag for fair queueing.
 #[derive(Clone, Debug)]
 pub(super) struct Flow {
-    pub(super) waiting: BTreeMap<Place, Waiting>,
+    pub(super) waiting: BTreeMap<QueueKey, Waiting>,
     pub(super) backlog: Tokens,
-    /// Virtual time at which the flow's next request starts: tokens by weight.
+    /// The virtual time at which the flow's next request starts, in tokens divided by weight.
     pub(super) tag: f64,
     pub(super) weight: Weight,
 }
@@ -42,35 +42,35 @@
     }
 
     /// Returns the weight as a divisor; a weight of zero counts as one.
-    pub(super) fn share(&self) -> f64 {
+    pub(super) fn divisor(&self) -> f64 {
         f64::from(self.weight.0.max(1))
     }
 
-    /// Charges work that starts, and returns the virtual time at which it does.
+    /// Charges the flow for a request that starts, and returns the virtual start time.
     pub(super) fn charge(&mut self, virtual_now: f64, cost: Tokens) -> f64 {
         let start = self.tag.max(virtual_now);
-        self.tag = start + cost.0 as f64 / self.share();
+        self.tag = start + cost.0 as f64 / self.divisor();
         start
     }
 
-    pub(super) fn insert(&mut self, place: Place, request: Request) {
+    pub(super) fn insert(&mut self, key: QueueKey, request: Request) {
         self.backlog += request.cost;
         let waiting = Waiting {
             request,
             bypasses: 0,
         };
-        self.waiting.insert(place, waiting);
+        self.waiting.insert(key, waiting);
     }
 
-    pub(super) fn remove(&mut self, place: Place) -> Option<Request> {
-        let request = self.waiting.remove(&place)?.request;
+    pub(super) fn remove(&mut self, key: QueueKey) -> Option<Request> {
+        let request = self.waiting.remove(&key)?.request;
         self.backlog -= request.cost;
         Some(request)
     }
 
-    /// Returns the work that goes before `place`.
-    pub(super) fn ahead_of(&self, place: Place) -> Tokens {
-        let ahead = self.waiting.range(..place);
-        ahead.map(|(_, waiting)| waiting.request.cost).sum()
+    /// Returns the total cost of the waiting requests ordered before `key`.
+    pub(super) fn cost_before(&self, key: QueueKey) -> Tokens {
+        let before = self.waiting.range(..key);
+        before.map(|(_, waiting)| waiting.request.cost).sum()
     }
 }
--- a/crates/sesamecart-decisions/src/admission/queue.rs
+++ b/crates/sesamecart-decisions/src/admission/queue.rs
@@ -1,4 +1,4 @@
-//! The queue of one pool at one node.
+//! The admission queue of one pool at one node.
 
 use std::collections::BTreeSet;
 
@@ -6,11 +6,11 @@
 use sesamecart_vocabulary::{Bytes, CustomerId, RequestClass, Timestamp, Tokens};
 
 use super::drain::DrainRate;
-use super::flow::{Flow, Place};
-use super::request::{Offer, Refusal, RefusalReason, Request, Ticket};
+use super::flow::{Flow, QueueKey};
+use super::request::{AdmissionDecision, Refusal, RefusalReason, Request, Ticket};
 use crate::settings::AdmissionSettings;
 
-/// The waiting requests of one pool at one node.
+/// The admission queue of one pool at one node.
 ///
 /// # Examples
 ///
@@ -27,14 +27,14 @@
     cfg: AdmissionSettings,
     lanes: [Lane; RequestClass::ALL.len()],
     by_ticket: IndexMap<Ticket, Entry>,
-    by_start: BTreeSet<Expiry>,
+    expiries: BTreeSet<Expiry>,
     size: Bytes,
     displaced: Vec<Refusal>,
-    drain: DrainRate,
-    largest: Option<Tokens>,
+    drain_rate: DrainRate,
+    max_request_kv: Option<Tokens>,
 }
 
-/// The flows of one class.
+/// The flows of one request class.
 #[derive(Clone, Debug, Default)]
 struct Lane {
     flows: IndexMap<CustomerId, Flow>,
@@ -45,7 +45,7 @@
 struct Entry {
     lane: usize,
     flow: usize,
-    place: Place,
+    key: QueueKey,
 }
 
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
@@ -54,107 +54,107 @@
     ticket: Ticket,
 }
 
-/// What a class yields when it is asked for its next request.
-enum Found {
+/// The result of looking for the next request of a class.
+enum Selection {
     Request(Entry),
-    /// A request has been passed over too often: room is kept for it.
+    /// A request was bypassed too often, so capacity is reserved for it.
     Reserved,
     Nothing,
 }
 
 impl Admission {
-    /// Makes an empty queue.
+    /// Creates an empty queue.
     #[must_use]
     pub fn new(cfg: AdmissionSettings) -> Self {
         Self {
             cfg,
             lanes: Default::default(),
             by_ticket: IndexMap::new(),
-            by_start: BTreeSet::new(),
+            expiries: BTreeSet::new(),
             size: Bytes(0),
             displaced: Vec::new(),
-            drain: DrainRate::new(cfg.drain_window()),
-            largest: None,
+            drain_rate: DrainRate::new(cfg.drain_window()),
+            max_request_kv: None,
         }
     }
 
-    /// Sets the largest request, by KV memory, that any endpoint of the pool could ever hold.
+    /// Sets the KV memory of the largest request that any endpoint of the pool can hold when idle.
     ///
-    /// Without it a request that fits nowhere would have room kept for it until its deadline.
-    pub const fn set_largest(&mut self, largest: Tokens) {
-        self.largest = Some(largest);
+    /// Without this limit, capacity would be reserved until its deadline for a request that can
+    /// never fit.
+    pub const fn set_max_request_kv(&mut self, max_request_kv: Tokens) {
+        self.max_request_kv = Some(max_request_kv);
     }
 
-    /// Returns the number of requests that wait.
+    /// Returns the number of waiting requests.
     #[must_use]
     pub fn waiting(&self) -> usize {
         self.by_ticket.len()
     }
 
-    /// Returns the KV memory that each waiting request would take.
+    /// Returns the KV memory that each waiting request needs.
     pub fn waiting_kv(&self) -> impl Iterator<Item = Tokens> {
         let flows = self.lanes.iter().flat_map(|lane| lane.flows.values());
         let waiting = flows.flat_map(|flow| flow.waiting.values());
         waiting.map(|waiting| waiting.request.kv)
     }
 
-    /// Returns when [`Admission::expire`] next has something to return, unless more happens.
+    /// Returns the latest start time of the request that expires next in [`Admission::expire`].
     #[must_use]
     pub fn next_expiry(&self) -> Option<Timestamp> {
-        self.by_start.first().map(|expiry| expiry.start_by)
+        self.expiries.first().map(|expiry| expiry.start_by)
     }
 
-    /// Takes a new request; `fits` tells whether an endpoint has room for it right now.
+    /// Decides about a new request; `fits` returns whether it can start at an endpoint now.
     pub fn offer(
         &mut self,
         now: Timestamp,
         request: Request,
         fits: impl FnOnce(&Request) -> bool,
-    ) -> Offer {
-        self.drain.tick(now, !self.by_ticket.is_empty());
-        if self.largest.is_some_and(|largest| request.kv > largest) {
+    ) -> AdmissionDecision {
+        self.drain_rate.update(now, !self.by_ticket.is_empty());
+        if self.max_request_kv.is_some_and(|max| request.kv > max) {
             let refusal = self.refusal(request.ticket, RefusalReason::TooLarge);
-            return Offer::Refuse(refusal);
+            return AdmissionDecision::Refuse(refusal);
         }
-        let lane = lane_of(request.class);
-        if self.nobody_before(lane) && fits(&request) {
+        let lane = lane_index(request.class);
+        if self.is_idle_up_to(lane) && fits(&request) {
             self.charge(lane, &request);
-            return Offer::Run;
+            return AdmissionDecision::Run;
         }
-        if let Some(reason) = self.reason_against(now, lane, &request) {
-            return Offer::Refuse(self.refusal(request.ticket, reason));
+        if let Some(reason) = self.refusal_reason(now, lane, &request) {
+            return AdmissionDecision::Refuse(self.refusal(request.ticket, reason));
         }
         self.insert(now, lane, request);
-        Offer::Wait
+        AdmissionDecision::Wait
     }
 
-    /// Returns the request that goes next and for which `fits` holds.
+    /// Removes and returns the next request for which `fits` returns true.
     ///
-    /// Call it whenever room may have appeared, until it returns nothing.
+    /// Call this whenever permits may have become free, until it returns `None`.
     pub fn next(
         &mut self,
         now: Timestamp,
         mut fits: impl FnMut(&Request) -> bool,
     ) -> Option<Request> {
-        self.drain.tick(now, !self.by_ticket.is_empty());
+        self.drain_rate.update(now, !self.by_ticket.is_empty());
         for lane in 0..self.lanes.len() {
-            match self.find(now, lane, &mut fits) {
-                Found::Request(entry) => return self.start(entry),
-                Found::Reserved => return None,
-                Found::Nothing => {}
+            match self.select(now, lane, &mut fits) {
+                Selection::Request(entry) => return self.start(entry),
+                Selection::Reserved => return None,
+                Selection::Nothing => {}
             }
         }
         None
     }
 
-    /// Returns the refusals of all requests that can't meet their deadline any more, and of those
-    /// that made room for others.
+    /// Returns the refusals of all requests that can no longer meet their deadline, and of those
+    /// that were displaced.
     ///
-    /// A request leaves with its final answer at the moment at which its turn would come too late;
-    /// it isn't held until the deadline itself.
+    /// A request is refused as soon as it can't start in time, rather than at its deadline.
     pub fn expire(&mut self, now: Timestamp) -> Vec<Refusal> {
         let mut refusals = std::mem::take(&mut self.displaced);
-        while let Some(expiry) = self.by_start.first().copied() {
+        while let Some(expiry) = self.expiries.first().copied() {
             if expiry.start_by >= now {
                 break;
             }
@@ -164,26 +164,26 @@
         refusals
     }
 
-    /// Takes out a request whose caller has gone; returns it if it waited.
+    /// Removes a request whose caller has disconnected; returns it if it was waiting.
     pub fn cancel(&mut self, ticket: Ticket) -> Option<Request> {
         self.remove(ticket)
     }
 
-    fn nobody_before(&self, lane: usize) -> bool {
-        let before = self.lanes.iter().take(lane + 1);
-        before
+    fn is_idle_up_to(&self, lane: usize) -> bool {
+        let lanes = self.lanes.iter().take(lane + 1);
+        lanes
             .flat_map(|lane| lane.flows.values())
             .all(|flow| flow.waiting.is_empty())
     }
 
     fn charge(&mut self, lane: usize, request: &Request) {
         let lane = &mut self.lanes[lane];
-        let flow = flow_of(lane, request);
+        let flow = flow_index(lane, request);
         let start = lane.flows[flow].charge(lane.virtual_now, request.cost);
         lane.virtual_now = lane.virtual_now.max(start);
     }
 
-    fn reason_against(
+    fn refusal_reason(
         &mut self,
         now: Timestamp,
         lane: usize,
@@ -192,58 +192,61 @@
         if request.start_by() < now {
             return Some(RefusalReason::Deadline);
         }
-        let wait = self.drain.time_for(self.ahead_of(now, lane, request));
-        if wait.is_some_and(|wait| now + wait > request.start_by()) {
+        let time_to_start = self
+            .drain_rate
+            .time_to_drain(self.cost_ahead(now, lane, request));
+        if time_to_start.is_some_and(|time_to_start| now + time_to_start > request.start_by()) {
             return Some(RefusalReason::Deadline);
         }
         (!self.make_room(lane, request)).then_some(RefusalReason::QueueFull)
     }
 
-    /// Estimates the work that goes before a new request: all of the higher classes, its own
-    /// customer's earlier work, and of each other customer as much as its weight earns meanwhile.
-    fn ahead_of(&self, now: Timestamp, lane: usize, request: &Request) -> f64 {
+    /// Estimates the cost in tokens that drains until a new request starts: its own cost, the backlog
+    /// of all higher classes, its customer's requests ordered before it, and for each other customer
+    /// the part of the backlog that fair queueing serves meanwhile.
+    fn cost_ahead(&self, now: Timestamp, lane: usize, request: &Request) -> f64 {
         let higher = self.lanes.iter().take(lane);
         let higher_work: u64 = higher
             .flat_map(|lane| lane.flows.values())
             .map(|flow| flow.backlog.0)
             .sum();
         let lane = &self.lanes[lane];
-        let place = self.place(now, request);
+        let key = self.queue_key(now, request);
         let own = lane.flows.get(&request.customer);
-        let own_work = own.map_or(0, |flow| flow.ahead_of(place).0) + request.cost.0;
+        let own_work = own.map_or(0, |flow| flow.cost_before(key).0) + request.cost.0;
         let weight = f64::from(request.weight.0.max(1));
-        let behind = own.map_or(0.0, |flow| (flow.tag - lane.virtual_now).max(0.0));
-        let finish = behind + own_work as f64 / weight;
+        let debt = own.map_or(0.0, |flow| (flow.tag - lane.virtual_now).max(0.0));
+        let finish = debt + own_work as f64 / weight;
         let others = lane
             .flows
             .iter()
             .filter(|(customer, flow)| **customer != request.customer && flow.backlog.0 > 0);
         let other_work: f64 = others
             .map(|(_, flow)| {
-                let earned = (finish - (flow.tag - lane.virtual_now)).max(0.0) * flow.share();
+                let earned = (finish - (flow.tag - lane.virtual_now)).max(0.0) * flow.divisor();
                 earned.min(flow.backlog.0 as f64)
             })
             .sum();
         higher_work as f64 + own_work as f64 + other_work
     }
 
-    fn place(&self, now: Timestamp, request: &Request) -> Place {
-        Place {
-            due: now + request.length.mul_f64(self.cfg.stretch),
+    fn queue_key(&self, now: Timestamp, request: &Request) -> QueueKey {
+        QueueKey {
+            effective_arrival: now + request.length.mul_f64(self.cfg.stretch),
             ticket: request.ticket,
         }
     }
 
-    fn is_full_with(&self, request: &Request) -> bool {
+    fn would_overflow(&self, request: &Request) -> bool {
         self.by_ticket.len() >= self.cfg.max_waiting
             || self.size.0 + request.size.0 > self.cfg.max_waiting_bytes
     }
 
-    /// Makes room in a full queue by displacing work of a lower class, or of a customer that has
-    /// more waiting for its weight; without it a flood fills the queue and a small customer's
-    /// first request is refused.
+    /// Makes room in a full queue by displacing requests of a lower class, or of a customer with a
+    /// larger backlog relative to its weight. Otherwise, when one customer floods the queue, a small
+    /// customer's first request would be refused.
     fn make_room(&mut self, lane: usize, request: &Request) -> bool {
-        while self.is_full_with(request) {
+        while self.would_overflow(request) {
             let Some(victim) = self.victim(lane, request) else {
                 return false;
             };
@@ -255,94 +258,97 @@
     }
 
     fn victim(&self, lane: usize, request: &Request) -> Option<Ticket> {
-        let mine = &self.lanes[lane];
+        let own_lane = &self.lanes[lane];
         let weight = f64::from(request.weight.0.max(1));
-        let own_backlog = mine.flows.get(&request.customer).map_or(0, |f| f.backlog.0);
+        let own_backlog = own_lane
+            .flows
+            .get(&request.customer)
+            .map_or(0, |f| f.backlog.0);
         let own = (own_backlog + request.cost.0) as f64 / weight;
         for index in (lane..self.lanes.len()).rev() {
             let flows = self.lanes[index].flows.values();
-            let most = flows
+            let largest = flows
                 .filter(|flow| !flow.waiting.is_empty())
-                .max_by(|a, b| per_weight(a).total_cmp(&per_weight(b)));
-            let Some(most) = most else { continue };
-            if index > lane || per_weight(most) > own {
-                return most.waiting.keys().next_back().map(|place| place.ticket);
+                .max_by(|a, b| backlog_per_weight(a).total_cmp(&backlog_per_weight(b)));
+            let Some(largest) = largest else { continue };
+            if index > lane || backlog_per_weight(largest) > own {
+                return largest.waiting.keys().next_back().map(|key| key.ticket);
             }
         }
         None
     }
 
     fn insert(&mut self, now: Timestamp, lane: usize, request: Request) {
-        let place = self.place(now, &request);
+        let key = self.queue_key(now, &request);
         let ticket = request.ticket;
         let expiry = Expiry {
             start_by: request.start_by(),
             ticket,
         };
-        self.by_start.insert(expiry);
+        self.expiries.insert(expiry);
         self.size += request.size;
         let target = &mut self.lanes[lane];
-        let flow = flow_of(target, &request);
+        let flow = flow_index(target, &request);
         let virtual_now = target.virtual_now;
         let queue = &mut target.flows[flow];
         if queue.waiting.is_empty() {
             queue.tag = queue.tag.max(virtual_now);
         }
-        queue.insert(place, request);
-        self.by_ticket.insert(ticket, Entry { lane, flow, place });
+        queue.insert(key, request);
+        self.by_ticket.insert(ticket, Entry { lane, flow, key });
     }
 
     fn remove(&mut self, ticket: Ticket) -> Option<Request> {
         let entry = self.by_ticket.swap_remove(&ticket)?;
-        let request = self.lanes[entry.lane].flows[entry.flow].remove(entry.place)?;
+        let request = self.lanes[entry.lane].flows[entry.flow].remove(entry.key)?;
         let expiry = Expiry {
             start_by: request.start_by(),
             ticket,
         };
-        self.by_start.remove(&expiry);
+        self.expiries.remove(&expiry);
         self.size -= request.size;
         Some(request)
     }
 
-    fn find(
+    fn select(
         &mut self,
         now: Timestamp,
         lane: usize,
         fits: &mut impl FnMut(&Request) -> bool,
-    ) -> Found {
+    ) -> Selection {
         let flows = &mut self.lanes[lane].flows;
         let mut order: Vec<usize> = (0..flows.len())
             .filter(|flow| !flows[*flow].waiting.is_empty())
             .collect();
         order.sort_by(|a, b| flows[*a].tag.total_cmp(&flows[*b].tag));
-        let mut passed = Vec::new();
+        let mut bypassed = Vec::new();
         for flow in order {
-            for (place, waiting) in flows[flow].waiting.iter().take(self.cfg.lookahead) {
+            for (key, waiting) in flows[flow].waiting.iter().take(self.cfg.lookahead) {
                 let entry = Entry {
                     lane,
                     flow,
-                    place: *place,
+                    key: *key,
                 };
                 if waiting.request.start_by() < now {
                     continue;
                 }
                 if fits(&waiting.request) {
-                    bypass(flows, &passed);
-                    return Found::Request(entry);
+                    count_bypasses(flows, &bypassed);
+                    return Selection::Request(entry);
                 }
                 if waiting.bypasses >= self.cfg.max_bypasses {
-                    return Found::Reserved;
+                    return Selection::Reserved;
                 }
-                passed.push(entry);
+                bypassed.push(entry);
             }
         }
-        Found::Nothing
+        Selection::Nothing
     }
 
     fn start(&mut self, entry: Entry) -> Option<Request> {
-        let request = self.remove(entry.place.ticket)?;
+        let request = self.remove(entry.key.ticket)?;
         self.charge(entry.lane, &request);
-        self.drain.leave(request.cost);
+        self.drain_rate.record_start(request.cost);
         Some(request)
     }
 
@@ -353,27 +359,30 @@
             .flat_map(|lane| lane.flows.values())
             .map(|flow| flow.backlog.0)
             .sum();
-        let drained = self.drain.time_for(backlog as f64).unwrap_or_default();
-        let low = self.cfg.min_retry_after();
-        let high = self.cfg.max_retry_after();
-        let base = drained.max(low).mul_f64(1.0 + ticket.jitter());
+        let drained = self
+            .drain_rate
+            .time_to_drain(backlog as f64)
+            .unwrap_or_default();
+        let min = self.cfg.min_retry_after();
+        let max = self.cfg.max_retry_after();
+        let base = drained.max(min).mul_f64(1.0 + ticket.jitter());
         Refusal {
             ticket,
             reason,
-            retry_after: base.clamp(low, high),
+            retry_after: base.clamp(min, max),
         }
     }
 }
 
-fn lane_of(class: RequestClass) -> usize {
+fn lane_index(class: RequestClass) -> usize {
     usize::from(class.priority().0)
 }
 
-fn per_weight(flow: &Flow) -> f64 {
-    flow.backlog.0 as f64 / flow.share()
+fn backlog_per_weight(flow: &Flow) -> f64 {
+    flow.backlog.0 as f64 / flow.divisor()
 }
 
-fn flow_of(lane: &mut Lane, request: &Request) -> usize {
+fn flow_index(lane: &mut Lane, request: &Request) -> usize {
     if let Some(index) = lane.flows.get_index_of(&request.customer) {
         lane.flows[index].weight = request.weight;
         return index;
@@ -382,9 +391,9 @@
     lane.flows.insert_full(request.customer.clone(), flow).0
 }
 
-fn bypass(flows: &mut IndexMap<CustomerId, Flow>, passed: &[Entry]) {
-    for entry in passed {
-        if let Some(waiting) = flows[entry.flow].waiting.get_mut(&entry.place) {
+fn count_bypasses(flows: &mut IndexMap<CustomerId, Flow>, bypassed: &[Entry]) {
+    for entry in bypassed {
+        if let Some(waiting) = flows[entry.flow].waiting.get_mut(&entry.key) {
             waiting.bypasses += 1;
         }
     }
--- a/crates/sesamecart-decisions/src/admission/request.rs
+++ b/crates/sesamecart-decisions/src/admission/request.rs
@@ -1,4 +1,4 @@
-//! What admission knows of a request, and its answers.
+//! Requests as admission sees them, and its decisions about them.
 
 use std::time::Duration;
 
@@ -8,40 +8,40 @@
     Bytes, CustomerId, RequestClass, Timestamp, Tokens, Weight, rendezvous_weight,
 };
 
-/// A request's number at its node, unique while the request is there.
+/// A request's number at its node, unique while the node handles the request.
 #[derive(Clone, Copy, Debug, Display, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Ticket(pub u64);
 
-/// What admission knows of a request.
+/// The properties of a request that admission depends on.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Request {
-    /// Its number at this node.
+    /// The request's number at this node.
     pub ticket: Ticket,
-    /// Its class.
+    /// The request's class.
     pub class: RequestClass,
-    /// Whose it is.
+    /// The customer that sent the request.
     pub customer: CustomerId,
     /// The customer's weight.
     pub weight: Weight,
-    /// The work in tokens, by which customers are made to share.
+    /// The cost in tokens, by which customers share capacity.
     pub cost: Tokens,
-    /// The KV memory that its prompt and answer take at an engine.
+    /// The KV memory that the prompt and the response need at an engine.
     pub kv: Tokens,
-    /// The shared part of its prompt.
+    /// The hash of the shared part of the prompt.
     pub prefix: Option<PrefixHash>,
-    /// The size of its body, which the node holds while it waits.
+    /// The size of the body, which the node buffers while the request waits.
     pub size: Bytes,
-    /// When the answer has to begin.
+    /// The deadline for the start of the response.
     pub deadline: Timestamp,
-    /// How long an endpoint is expected to need until the answer begins.
+    /// The expected time from the start at an endpoint to the start of the response.
     pub expected: Duration,
-    /// How long an endpoint is expected to need for the whole answer.
+    /// The expected time from the start at an endpoint to the end of the response.
     pub length: Duration,
 }
 
 impl Ticket {
-    /// Spreads the callers' return over half as long again, so that those refused together don't
-    /// come back together.
+    /// Returns a fraction from 0 to 0.5 by which `Retry-After` is extended, so that callers refused
+    /// at the same time don't retry at the same time.
     pub(super) fn jitter(self) -> f64 {
         let hash = rendezvous_weight("retry-after", &self.to_string());
         0.5 * (hash >> 11) as f64 / (1_u64 << 53) as f64
@@ -49,49 +49,49 @@
 }
 
 impl Request {
-    /// Returns the latest start that still meets the deadline.
+    /// Returns the latest start time at which the request can meet its deadline.
     #[must_use]
     pub fn start_by(&self) -> Timestamp {
         self.deadline - self.expected
     }
 }
 
-/// The answer to a request that asks to be let in.
+/// The decision about a new request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Offer {
-    /// Start it now.
+pub enum AdmissionDecision {
+    /// The request starts now.
     Run,
-    /// It waits; [`Admission::next`](super::Admission::next) or
+    /// The request waits; [`Admission::next`](super::Admission::next) or
     /// [`Admission::expire`](super::Admission::expire) returns it.
     Wait,
-    /// It was not run and will not be.
+    /// The request was not run and will not be.
     Refuse(Refusal),
 }
 
-/// A refusal, which is final: the request was not run.
+/// The final refusal of a request, which was not run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Refusal {
-    /// The request.
+    /// The ticket of the request.
     pub ticket: Ticket,
-    /// Why.
+    /// Why the request was refused.
     pub reason: RefusalReason,
-    /// When the caller may try again with some hope.
+    /// How long the caller should wait before a retry.
     pub retry_after: Duration,
 }
 
 /// Why a request was refused.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
 pub enum RefusalReason {
-    /// Its turn would come too late.
+    /// The request can't start in time for its deadline.
     #[display("the deadline can't be met")]
     Deadline,
-    /// Too many requests or bytes wait already.
+    /// The queue has reached its limit of requests or bytes.
     #[display("the queue is full")]
     QueueFull,
-    /// It made room for a request of a higher class or of a customer with less waiting work.
+    /// The request was displaced by one of a higher class or of a customer with a smaller backlog.
     #[display("displaced from a full queue")]
     Displaced,
-    /// No endpoint of the pool could hold it.
+    /// The request needs more KV memory than any endpoint of the pool has.
     #[display("too large for every endpoint")]
     TooLarge,
 }
--- a/crates/sesamecart-decisions/src/allowance.rs
+++ b/crates/sesamecart-decisions/src/allowance.rs
@@ -1,22 +1,24 @@
-//! What one endpoint bears in all, and how the nodes share it.
+//! The concurrency limit of an endpoint and how nodes share it.
 //!
-//! It answers endpoints that are freshly started, turn cold unannounced, become slow, or return
-//! with their failure domain, and load that moves between nodes:
+//! The limit covers endpoints that have just started, become cold without notice, become slow, or
+//! return with their failure domain, and load that moves between nodes:
 //!
 //! - An endpoint has one limit for the whole system, kept by its shard's owner ([`Allowance`]).
-//!   With a limit per node, each node's small share adds up to far more than a cold endpoint bears.
-//! - The limit starts at the cold one and grows only while it is used and latency holds
-//!   ([`AdaptiveLimit`]); without it a freshly started endpoint falls over under full load.
-//! - The owner lends slices that are valid for about a second. A node starts work only under a
-//!   valid slice ([`Borrowed`]), so a node that is cut off stops by itself, and what a dead node
-//!   held comes back by time. A new owner lends nothing until its predecessor's slices have ended.
+//!   With a limit per node, the small shares of all nodes add up to far more than a cold endpoint
+//!   can handle.
+//! - The limit starts at the cold limit and grows only while it is in use and latency is acceptable
+//!   ([`AdaptiveLimit`]). Without this, an endpoint that has just started fails under full load.
+//! - The owner lends slices that are valid for about a second. A node starts requests only under a
+//!   valid slice ([`Borrowed`]), so a partitioned node stops by itself, and the permits of a dead
+//!   node become available when they expire. A new owner lends nothing until its predecessor's
+//!   slices have expired.
 //!
-//! A permit stands for one request and for an even part of the KV memory
-//! ([`EndpointLimits::kv_per_permit`]). What a node runs under a slice may exceed neither the number
-//! nor the memory of its permits, so one number that is lent limits both, and a few long requests
-//! can't overrun an engine's memory.
+//! A permit allows one request and an equal part of the KV memory
+//! ([`EndpointLimits::kv_per_permit`]). The requests that a node runs under a slice exceed neither
+//! the number nor the memory of its permits. One lent number therefore limits both, and a few long
+//! requests can't exceed an engine's memory.
 //!
-//! docs/policy.md tells why the thresholds are what they are.
+//! docs/policy.md explains the thresholds.
 
 mod borrowed;
 mod limit;
--- a/crates/sesamecart-decisions/src/allowance/borrowed.rs
+++ b/crates/sesamecart-decisions/src/allowance/borrowed.rs
@@ -1,4 +1,4 @@
-//! A node's side of one endpoint: the slice that it holds and what it has started under it.
+//! The permits that a node has borrowed for one endpoint, and the requests that it runs under them.
 
 use std::time::Duration;
 
@@ -7,29 +7,30 @@
 use super::limit::Sample;
 use crate::settings::AllowanceSettings;
 
-/// What a node tells an endpoint's owner.
+/// A node's request to an endpoint's owner for permits, with the node's samples.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Demand {
-    /// When the node asked, by its own clock.
+    /// When the node sent the demand, by its own clock.
     pub asked: Timestamp,
-    /// The permits that the node could use; from `asked` on until the answer it uses no more.
+    /// The number of permits that the node can use. It uses no more than these from `asked` until the
+    /// answer arrives.
     pub wanted: Permits,
-    /// The permits of its requests that run there.
+    /// The permits of the node's requests that run at the endpoint.
     pub in_flight: Permits,
-    /// What it saw since its last message.
+    /// What the node measured since its last demand.
     pub sample: Sample,
 }
 
-/// A part of an endpoint's allowance, lent for a short time.
+/// A part of an endpoint's allowance, lent to a node for a short time.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Slice {
-    /// The permits.
+    /// The number of permits.
     pub permits: Permits,
-    /// How long they are valid, from when the node asked.
+    /// How long the permits are valid, counted from when the node sent its demand.
     pub valid_for: Duration,
 }
 
-/// One endpoint's slice at one node.
+/// A node's slice of one endpoint's allowance and the requests that run under it.
 #[derive(Clone, Debug, Default)]
 pub struct Borrowed {
     permits: Permits,
@@ -37,52 +38,52 @@
     kv_per_permit: Tokens,
     running: Concurrency,
     kv: Tokens,
-    peak: Permits,
+    peak_in_flight: Permits,
     sample: Sample,
-    /// When a failure ended the slice; only an answer to a later message begins a new one.
-    voided_at: Option<Timestamp>,
-    /// When the message was sent that has no answer yet.
-    outstanding: Option<Timestamp>,
-    /// How long the last sign of life from the endpoint counts.
+    /// When the slice was invalidated; only the answer to a later demand replaces it.
+    invalidated_at: Option<Timestamp>,
+    /// When the unanswered demand was sent, if there is one.
+    demand_sent_at: Option<Timestamp>,
+    /// Until when the endpoint counts as alive.
     alive_until: Timestamp,
-    sign: Duration,
+    liveness_timeout: Duration,
 }
 
 impl Borrowed {
-    /// Makes the books of an endpoint where each permit comes with `kv_per_permit`; zero if memory
-    /// is no limit.
+    /// Creates the state of an endpoint without a slice. `kv_per_permit` is the KV memory per permit;
+    /// zero if memory is not limited.
     #[must_use]
     pub fn new(kv_per_permit: Tokens, cfg: &AllowanceSettings) -> Self {
         Self {
             kv_per_permit,
-            sign: cfg.sign(),
+            liveness_timeout: cfg.sign(),
             ..Self::default()
         }
     }
 
-    /// Returns the permits that no request uses now.
+    /// Returns the number of valid permits that no request uses.
     #[must_use]
     pub fn free(&self, now: Timestamp) -> Permits {
-        self.lent(now).saturating_sub(self.in_flight())
+        self.valid_permits(now).saturating_sub(self.in_flight())
     }
 
-    /// Returns the permits of requests that run: by their number or by their memory, whichever
-    /// takes more.
+    /// Returns the permits of the running requests, by their number or by their memory, whichever is
+    /// more.
     #[must_use]
     pub fn in_flight(&self) -> Permits {
         self.permits_for(self.running, self.kv)
     }
 
-    /// Returns the largest request that may start now, by its KV memory.
+    /// Returns the KV memory of the largest request that may start now.
     ///
-    /// A node that has nothing running at an endpoint doesn't notice that it was restarted, and
-    /// several such nodes would overrun it while it is cold. So a node without a recent sign of life
-    /// starts one request and then waits for its first token.
+    /// A node without running requests at an endpoint doesn't notice a restart, and several such
+    /// nodes would overload the endpoint while it is cold. A node that has not received anything
+    /// from the endpoint recently therefore starts one request and waits for its first token.
     #[must_use]
-    pub fn largest(&self, now: Timestamp) -> Option<Tokens> {
-        let permits = self.lent(now);
-        let unproven = now >= self.alive_until && self.running.0 > 0;
-        if unproven || self.free(now) == Permits(0) {
+    pub fn max_request_kv(&self, now: Timestamp) -> Option<Tokens> {
+        let permits = self.valid_permits(now);
+        let is_unconfirmed = now >= self.alive_until && self.running.0 > 0;
+        if is_unconfirmed || self.free(now) == Permits(0) {
             return None;
         }
         if self.kv_per_permit.0 == 0 {
@@ -92,13 +93,13 @@
         Some(kv.saturating_sub(self.kv))
     }
 
-    /// Returns whether a request may start now.
+    /// Returns whether a request that needs `kv` of KV memory may start now.
     #[must_use]
     pub fn fits(&self, now: Timestamp, kv: Tokens) -> bool {
-        self.largest(now).is_some_and(|largest| kv <= largest)
+        self.max_request_kv(now).is_some_and(|max| kv <= max)
     }
 
-    /// Returns the permits that requests take together.
+    /// Returns the number of permits that `running` requests with a total KV memory of `kv` need.
     #[must_use]
     pub fn permits_for(&self, running: Concurrency, kv: Tokens) -> Permits {
         if self.kv_per_permit.0 == 0 {
@@ -108,83 +109,83 @@
         Permits(u32::try_from(by_kv).unwrap_or(u32::MAX).max(running.0))
     }
 
-    /// Returns the permits of the slice, or none once it has ended.
+    /// Returns the permits of the slice, or zero after it has expired.
     #[must_use]
-    pub fn lent(&self, now: Timestamp) -> Permits {
+    pub fn valid_permits(&self, now: Timestamp) -> Permits {
         if now >= self.valid_until {
             return Permits(0);
         }
         self.permits
     }
 
-    /// Starts a request if the slice has room for it.
+    /// Starts a request if the slice has enough free permits; returns whether it started.
     pub fn start(&mut self, now: Timestamp, kv: Tokens) -> bool {
         if !self.fits(now, kv) {
             return false;
         }
         self.running += Concurrency(1);
         self.kv += kv;
-        self.peak = self.peak.max(self.in_flight());
+        self.peak_in_flight = self.peak_in_flight.max(self.in_flight());
         true
     }
 
-    /// Ends a request that was started.
+    /// Ends a request that completed.
     pub fn finish(&mut self, now: Timestamp, kv: Tokens) {
-        self.end(kv);
-        self.alive(now);
+        self.release(kv);
+        self.record_alive(now);
         self.sample.finished += 1;
     }
 
-    /// Ends a request that the endpoint failed, and stops starting work there until the owner has
-    /// been told.
+    /// Ends a request that failed at the endpoint, and starts no more requests there until the owner
+    /// has answered a demand sent after the failure.
     ///
-    /// A failed request is the first sign that a warm endpoint was restarted and is cold; the
-    /// rest of the slice was lent for the warm one.
+    /// A failed request is the first indication that a warm endpoint was restarted and is cold. The
+    /// slice was lent under the warm limit.
     pub fn fail(&mut self, now: Timestamp, kv: Tokens) {
-        self.end(kv);
+        self.release(kv);
         self.sample.failed += 1;
-        self.drop_slice(now);
+        self.invalidate_slice(now);
     }
 
-    /// Ends the slice at once; only an answer to a later message begins a new one.
-    pub fn drop_slice(&mut self, now: Timestamp) {
+    /// Invalidates the slice; only the answer to a later demand replaces it.
+    pub fn invalidate_slice(&mut self, now: Timestamp) {
         self.valid_until = self.valid_until.min(now);
         self.alive_until = self.alive_until.min(now);
-        self.voided_at = Some(now);
+        self.invalidated_at = Some(now);
     }
 
-    /// Ends a request whose caller has gone, which says nothing about the endpoint.
+    /// Ends a request whose caller has disconnected, without a conclusion about the endpoint.
     pub fn cancel(&mut self, kv: Tokens) {
-        self.end(kv);
+        self.release(kv);
     }
 
-    fn end(&mut self, kv: Tokens) {
+    fn release(&mut self, kv: Tokens) {
         self.running = self.running.saturating_sub(Concurrency(1));
         self.kv = self.kv.saturating_sub(kv);
     }
 
-    /// Notes a sign of life from the endpoint.
-    pub fn alive(&mut self, now: Timestamp) {
-        self.alive_until = now + self.sign;
+    /// Records that the endpoint is alive.
+    pub fn record_alive(&mut self, now: Timestamp) {
+        self.alive_until = now + self.liveness_timeout;
     }
 
-    /// Notes times between tokens, or a plain service's request times.
-    pub fn observe(&mut self, now: Timestamp, seen: &Sample) {
-        if seen.tokens.0 > 0 {
-            self.alive(now);
+    /// Records inter-token times, or a plain service's request latencies.
+    pub fn observe(&mut self, now: Timestamp, sample: &Sample) {
+        if sample.tokens.0 > 0 {
+            self.record_alive(now);
         }
-        self.sample.add(seen);
+        self.sample.add(sample);
     }
 
-    /// Makes the message to the owner and forgets what it tells.
+    /// Creates a demand for the owner and resets the collected samples.
     ///
-    /// It gives back at once what the node doesn't want, so that the owner can lend it to others
-    /// without waiting for the slice to end. `waiting` are the permits that
-    /// requests in the node's queue could use here.
+    /// The demand returns permits that the node doesn't want, so that the owner can lend them to
+    /// other nodes before the slice expires. `waiting` is the number of permits that requests in
+    /// the node's queue could use at this endpoint.
     pub fn demand(&mut self, now: Timestamp, waiting: Permits) -> Demand {
-        self.outstanding = Some(now);
+        self.demand_sent_at = Some(now);
         let in_flight = self.in_flight();
-        let wanted = self.peak.max(in_flight) + waiting;
+        let wanted = self.peak_in_flight.max(in_flight) + waiting;
         self.permits = self.permits.min(wanted);
         let demand = Demand {
             asked: now,
@@ -192,36 +193,40 @@
             in_flight,
             sample: std::mem::take(&mut self.sample),
         };
-        self.peak = in_flight;
+        self.peak_in_flight = in_flight;
         demand
     }
 
-    /// Takes the owner's answer to a message that was sent at `asked`.
+    /// Applies the owner's answer to the demand that was sent at `asked`.
     ///
-    /// The validity counts from the sending, so that a slow answer can't lengthen a slice beyond
-    /// the owner's own count. Only the answer to the last message counts, since each message gives back
-    /// what it doesn't want, and none from before a failure.
-    pub fn take(&mut self, asked: Timestamp, slice: Slice) {
-        if self.outstanding != Some(asked) {
+    /// The validity starts when the demand was sent, so that a slow answer can't extend a slice
+    /// beyond the time for which the owner counts it. Answers to any but the last demand are
+    /// ignored, since each demand returns the permits that it doesn't want. So are answers to
+    /// demands from before a failure.
+    pub fn apply_slice(&mut self, asked: Timestamp, slice: Slice) {
+        if self.demand_sent_at != Some(asked) {
             return;
         }
-        self.outstanding = None;
-        if self.voided_at.is_some_and(|voided| asked < voided) {
+        self.demand_sent_at = None;
+        if self
+            .invalidated_at
+            .is_some_and(|invalidated| asked < invalidated)
+        {
             return;
         }
-        self.voided_at = None;
+        self.invalidated_at = None;
         self.permits = slice.permits;
         self.valid_until = asked + slice.valid_for;
     }
 
-    /// Returns whether the owner may be asked: no answer is awaited any more.
+    /// Returns whether a demand may be sent: none is in flight, or the last one has timed out.
     #[must_use]
-    pub fn may_ask(&self, now: Timestamp, cfg: &AllowanceSettings) -> bool {
-        self.outstanding
+    pub fn may_send_demand(&self, now: Timestamp, cfg: &AllowanceSettings) -> bool {
+        self.demand_sent_at
             .is_none_or(|asked| now >= asked + cfg.borrow_timeout())
     }
 
-    /// Returns whether it is time to renew the slice.
+    /// Returns whether the slice is due for renewal.
     #[must_use]
     pub fn needs_renewal(&self, now: Timestamp, cfg: &AllowanceSettings) -> bool {
         now + cfg.slice() >= self.valid_until + cfg.renew()
--- a/crates/sesamecart-decisions/src/allowance/limit.rs
+++ b/crates/sesamecart-decisions/src/allowance/limit.rs
@@ -1,4 +1,4 @@
-//! The limit of one endpoint, adapted to what it bears.
+//! The adaptive concurrency limit of one endpoint.
 
 use std::time::Duration;
 
@@ -6,51 +6,51 @@
 
 use crate::settings::AllowanceSettings;
 
-/// What an endpoint does, which sets the latency that it may have.
+/// The kind of an endpoint, which determines the acceptable latency.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum EndpointWork {
-    /// An engine: latency is the time between two tokens.
+    /// An inference engine, whose latency is the time between two tokens.
     Engine,
-    /// A plain service: latency is a request's.
+    /// A plain service, whose latency is that of a request.
     Service,
 }
 
-/// What configuration says that an endpoint bears.
+/// The configured limits of an endpoint.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct EndpointLimits {
-    /// Requests at once right after a start.
+    /// The maximum number of concurrent requests right after a start.
     pub cold: Concurrency,
-    /// Requests at once when warm.
+    /// The maximum number of concurrent requests when warm.
     pub warm: Concurrency,
-    /// Tokens that its KV memory holds; zero if that is no limit.
+    /// The capacity of its KV memory; zero if memory is not limited.
     pub kv_tokens: Tokens,
-    /// What it does.
+    /// The kind of the endpoint.
     pub work: EndpointWork,
 }
 
 impl EndpointLimits {
-    /// Returns the KV memory that comes with each permit; zero if memory is no limit.
+    /// Returns the KV memory per permit; zero if memory is not limited.
     #[must_use]
     pub fn kv_per_permit(&self) -> Tokens {
         Tokens(self.kv_tokens.0 / u64::from(self.warm.0.max(1)))
     }
 }
 
-/// What nodes saw of an endpoint since their last message.
+/// What a node measured at an endpoint since its last demand.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Sample {
-    /// Requests that finished.
+    /// The number of requests that completed.
     pub finished: u32,
-    /// Requests that failed.
+    /// The number of requests that failed.
     pub failed: u32,
-    /// The sum of the times between tokens, or of a plain service's request times.
+    /// The sum of the inter-token times, or of a plain service's request latencies.
     pub latency: Duration,
-    /// The tokens, or a plain service's requests, over which `latency` was summed.
+    /// The number of tokens, or of a plain service's requests, in the sum `latency`.
     pub tokens: Tokens,
 }
 
 impl Sample {
-    /// Adds what another sample saw.
+    /// Adds another sample to this one.
     pub fn add(&mut self, other: &Self) {
         self.finished += other.finished;
         self.failed += other.failed;
@@ -58,63 +58,63 @@
         self.tokens += other.tokens;
     }
 
-    fn per_token(&self) -> Option<f64> {
+    fn mean_latency(&self) -> Option<f64> {
         let tokens = self.tokens.0;
         (tokens > 0).then(|| self.latency.as_secs_f64() / tokens as f64)
     }
 }
 
-/// What an endpoint reports about itself; it lags.
+/// The load that an endpoint reports about itself, with a delay.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct LoadReport {
-    /// The life of the endpoint's process.
+    /// The incarnation of the endpoint's process.
     pub incarnation: Incarnation,
-    /// Requests that run.
+    /// The number of running requests.
     pub running: Concurrency,
-    /// Whether it takes requests.
+    /// Whether the endpoint accepts requests.
     pub ready: bool,
 }
 
-/// An endpoint's limit, which rises and falls with what the endpoint bears.
+/// An endpoint's concurrency limit, which adapts to the endpoint's latency and failures.
 ///
-/// It rises by a factor while the endpoint is used and its latency is bearable, falls by a factor
-/// when it isn't (additive growth would take a minute from cold to warm), and drops to the cold
-/// limit at once on a new incarnation, on failures, or on latency far above the bearable one. It
-/// changes at most once in `step_ms`, since reports lag: a faster loop would answer the same
-/// sign twice and swing.
+/// The limit grows by a factor while it is in use and latency is acceptable (additive growth would
+/// take a minute from cold to warm), and shrinks by a factor while latency is too high. It drops to
+/// the cold limit at once on a new incarnation, on failures, or when latency is far too high. It is
+/// adapted at most once per `step_ms`, since reports lag: a faster loop would react twice to the
+/// same measurement and oscillate.
 #[derive(Clone, Debug)]
 pub struct AdaptiveLimit {
     cfg: AllowanceSettings,
     limits: EndpointLimits,
     value: f64,
-    lowest: Option<f64>,
-    window: Sample,
+    min_latency: Option<f64>,
+    sample_sum: Sample,
     next_step: Timestamp,
-    cold_until: Timestamp,
+    ignore_samples_until: Timestamp,
     failures: u32,
     suspect_until: Timestamp,
     incarnation: Option<Incarnation>,
     ready: bool,
 }
 
-/// How far the lowest latency seen is forgotten in each step, so that a change of model or load
-/// mix is learnt within minutes.
-const FORGET: f64 = 1.002;
+/// The factor by which the lowest observed latency rises in each step, so that the limit adapts to
+/// a change of model or load mix within minutes.
+const MIN_LATENCY_RISE_PER_STEP: f64 = 1.002;
 
-/// The fewest failures that count as a sign of an endpoint that turned cold.
-const COLD_FAILURES: u32 = 2;
+/// The number of failures in close succession after which an endpoint is treated as cold.
+const MIN_FAILURES_FOR_COLD: u32 = 2;
 
 impl AdaptiveLimit {
-    /// Makes the limit of an endpoint that may be cold.
+    /// Creates the limit of an endpoint that may be cold.
     #[must_use]
     pub fn new(now: Timestamp, limits: EndpointLimits, cfg: AllowanceSettings) -> Self {
         Self {
             value: f64::from(limits.cold.0.min(limits.warm.0)),
             limits,
-            lowest: None,
-            window: Sample::default(),
+            min_latency: None,
+            sample_sum: Sample::default(),
             next_step: now + cfg.step(),
-            cold_until: now,
+            ignore_samples_until: now,
             failures: 0,
             suspect_until: now,
             incarnation: None,
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Returns the limit: how many permits may be lent in all.
+    /// Returns the limit, as the total number of permits that may be lent.
     #[must_use]
     pub fn permits(&self) -> Permits {
         if !self.ready {
@@ -132,116 +132,116 @@
         Permits(self.value as u32)
     }
 
-    /// Returns the limits that configuration gives.
+    /// Returns the configured limits.
     #[must_use]
     pub const fn configured(&self) -> EndpointLimits {
         self.limits
     }
 
-    /// Takes new limits from configuration, keeping what was learnt.
+    /// Sets new configured limits and keeps the adapted state.
     pub fn set_configured(&mut self, limits: EndpointLimits) {
         self.limits = limits;
         self.value = self.value.min(f64::from(limits.warm.0));
     }
 
-    /// Lets an endpoint that is known to be warm start at its warm limit.
+    /// Raises the limit to the warm limit, for an endpoint that is known to be warm.
     pub fn assume_warm(&mut self) {
         self.value = f64::from(self.limits.warm.0);
     }
 
-    /// Drops to the cold limit, because the endpoint has started anew or behaves as if it had.
+    /// Drops to the cold limit, because the endpoint has restarted or behaves as if it had.
     pub fn turn_cold(&mut self, now: Timestamp) {
         self.value = self.value.min(f64::from(self.limits.cold.0));
-        self.window = Sample::default();
+        self.sample_sum = Sample::default();
         self.next_step = now + self.cfg.step();
-        self.cold_until = now + self.cfg.slice();
+        self.ignore_samples_until = now + self.cfg.slice();
     }
 
-    /// Takes the endpoint's own report.
+    /// Applies a load report of the endpoint.
     pub fn report(&mut self, now: Timestamp, report: &LoadReport) {
         self.ready = report.ready;
-        let restarted = self
+        let is_restarted = self
             .incarnation
             .is_some_and(|known| known != report.incarnation);
         self.incarnation = Some(report.incarnation);
-        if restarted {
+        if is_restarted {
             self.turn_cold(now);
         }
     }
 
-    /// Notes whether the endpoint may have work, without a report of its own.
+    /// Sets whether the endpoint accepts requests, when no load report is available.
     pub fn set_ready(&mut self, ready: bool) {
         self.ready = ready;
     }
 
-    /// Takes what a node saw.
+    /// Adds a node's sample.
     ///
-    /// What nodes still saw of the time before the endpoint turned cold arrives up to a slice
-    /// later and is ignored: it would say that the cold endpoint is fast.
+    /// Samples from before the endpoint became cold arrive up to one slice duration later. They are
+    /// ignored, since they would make the cold endpoint look fast.
     pub fn observe(&mut self, now: Timestamp, sample: &Sample) {
         if sample.failed > 0 {
-            self.suspect(now, sample.failed);
+            self.record_failures(now, sample.failed);
             return;
         }
-        if now >= self.cold_until {
-            self.window.add(sample);
+        if now >= self.ignore_samples_until {
+            self.sample_sum.add(sample);
         }
     }
 
-    /// Returns whether failures are so recent that more may be on their way.
+    /// Returns whether the last failure is so recent that reports of further ones may be in flight.
     #[must_use]
     pub fn is_suspect(&self, now: Timestamp) -> bool {
         now < self.suspect_until
     }
 
-    /// Counts failures that come close together.
+    /// Counts failures in close succession.
     ///
-    /// One may be the network's. But nodes hear of a restart at the same time, and each would start
-    /// a first request under the warm limit before the owner has heard of the second failure, so
-    /// nothing is lent meanwhile.
-    fn suspect(&mut self, now: Timestamp, failed: u32) {
+    /// A single failure may be caused by the network. After a restart, however, all nodes see
+    /// failures at the same time, and each would start a first request under the warm limit before
+    /// the second failure reaches the owner. Nothing is lent meanwhile.
+    fn record_failures(&mut self, now: Timestamp, failed: u32) {
         if !self.is_suspect(now) {
             self.failures = 0;
         }
         self.failures += failed;
         self.suspect_until = now + self.cfg.suspect();
-        if self.failures >= COLD_FAILURES {
+        if self.failures >= MIN_FAILURES_FOR_COLD {
             self.turn_cold(now);
         }
     }
 
-    /// Adapts the limit if it is time to; `used` are the permits in use.
+    /// Adapts the limit if a step is due. `used` is the number of permits in use.
     pub fn step(&mut self, now: Timestamp, used: Permits) {
         if now < self.next_step {
             return;
         }
         self.next_step = now + self.cfg.step();
-        let window = std::mem::take(&mut self.window);
-        let Some(latency) = window.per_token() else {
+        let sample = std::mem::take(&mut self.sample_sum);
+        let Some(latency) = sample.mean_latency() else {
             return;
         };
-        let lowest = self
-            .lowest
-            .map_or(latency, |low| (low * FORGET).min(latency));
-        self.lowest = Some(lowest);
-        let bearable = self.bearable(lowest);
-        if latency > self.cfg.cold_latency * bearable {
+        let min_latency = self.min_latency.map_or(latency, |min| {
+            (min * MIN_LATENCY_RISE_PER_STEP).min(latency)
+        });
+        self.min_latency = Some(min_latency);
+        let acceptable = self.acceptable_latency(min_latency);
+        if latency > self.cfg.cold_latency * acceptable {
             self.turn_cold(now);
             self.shrink();
-        } else if latency > bearable {
+        } else if latency > acceptable {
             self.shrink();
         } else if f64::from(used.0) >= self.cfg.growth_use * self.value.floor() {
             self.grow();
         }
     }
 
-    fn bearable(&self, lowest: f64) -> f64 {
-        let floor_ms = match self.limits.work {
+    fn acceptable_latency(&self, min_latency: f64) -> f64 {
+        let always_acceptable_ms = match self.limits.work {
             EndpointWork::Engine => self.cfg.token_gap_ms,
             EndpointWork::Service => self.cfg.service_latency_ms,
         };
-        let floor = Duration::from_millis(floor_ms).as_secs_f64();
-        floor.max(lowest * self.cfg.tolerance)
+        let always_acceptable = Duration::from_millis(always_acceptable_ms).as_secs_f64();
+        always_acceptable.max(min_latency * self.cfg.tolerance)
     }
 
     fn shrink(&mut self) {
--- a/crates/sesamecart-decisions/src/allowance/owner.rs
+++ b/crates/sesamecart-decisions/src/allowance/owner.rs
@@ -1,4 +1,4 @@
-//! The owner's side of one endpoint: lending its limit to nodes.
+//! The owner's side of one endpoint, which lends the endpoint's limit to nodes in slices.
 
 use indexmap::IndexMap;
 use sesamecart_vocabulary::{NodeId, Permits, Timestamp};
@@ -7,19 +7,19 @@
 use super::limit::{AdaptiveLimit, EndpointLimits, LoadReport};
 use crate::settings::AllowanceSettings;
 
-/// One endpoint's limit and what each node holds of it.
+/// One endpoint's limit and the permits that each node holds.
 #[derive(Clone, Debug)]
 pub struct Allowance {
     cfg: AllowanceSettings,
     limit: AdaptiveLimit,
-    lent: IndexMap<NodeId, Lent>,
-    lends_from: Timestamp,
-    running: Running,
+    nodes: IndexMap<NodeId, NodeGrants>,
+    lending_starts_at: Timestamp,
+    reported_load: ReportedLoad,
 }
 
-/// What one node holds.
+/// The permits that one node holds.
 #[derive(Clone, Debug, Default)]
-struct Lent {
+struct NodeGrants {
     asked: Timestamp,
     grants: Vec<Grant>,
     in_flight: Permits,
@@ -28,20 +28,20 @@
     linger_until: Timestamp,
 }
 
-/// One slice as the owner counts it.
+/// A slice that was lent to a node.
 #[derive(Clone, Copy, Debug)]
 struct Grant {
     permits: Permits,
     valid_until: Timestamp,
 }
 
-impl Lent {
+impl NodeGrants {
     /// Returns the permits that may be in use.
     ///
-    /// An answer can be lost, and the node then goes on under an earlier and larger slice, so a
-    /// slice counts until it has ended and the node has spoken again. A node that stays silent
-    /// starts nothing after its slices, but what it started may still run where the owner can't see
-    /// it, so it counts until it must have ended.
+    /// If an answer is lost, the node continues under an earlier and larger slice. A slice therefore
+    /// counts until it has expired and the node has sent another demand. An unresponsive node starts
+    /// no request after its slices have expired, but its requests may still run without the owner's
+    /// knowledge. They count until they must have ended.
     fn held(&self, now: Timestamp) -> Permits {
         if now >= self.linger_until {
             return Permits(0);
@@ -50,14 +50,14 @@
         lent.unwrap_or_default().max(self.in_flight)
     }
 
-    fn prune(&mut self, now: Timestamp, cfg: &AllowanceSettings) {
+    fn remove_expired(&mut self, now: Timestamp, cfg: &AllowanceSettings) {
         let timeout = cfg.borrow_timeout();
         self.grants
             .retain(|grant| now < grant.valid_until + timeout);
     }
 
-    /// Takes over what a node says of itself, among it that it uses no more than it wants.
-    fn hear(&mut self, demand: &Demand) {
+    /// Applies a node's demand, which also limits the permits that the node uses from now on.
+    fn apply_demand(&mut self, demand: &Demand) {
         self.asked = demand.asked;
         self.in_flight = demand.in_flight;
         self.wanted = demand.wanted;
@@ -74,33 +74,33 @@
     }
 }
 
-/// The endpoint's own count of what runs there, which outlives an owner.
+/// The number of running requests that the endpoint reports, which is independent of the owner.
 #[derive(Clone, Copy, Debug, Default)]
-struct Running {
+struct ReportedLoad {
     permits: Permits,
     valid_until: Timestamp,
 }
 
 impl Allowance {
-    /// Makes the allowance of a new owner, which lends nothing until all slices of a predecessor
-    /// have ended.
+    /// Creates the allowance at a new owner, which lends nothing until all slices of its predecessor
+    /// have expired.
     #[must_use]
     pub fn new(now: Timestamp, limits: EndpointLimits, cfg: AllowanceSettings) -> Self {
         Self {
             limit: AdaptiveLimit::new(now, limits, cfg),
-            lent: IndexMap::new(),
-            lends_from: now + cfg.takeover_wait(),
-            running: Running::default(),
+            nodes: IndexMap::new(),
+            lending_starts_at: now + cfg.takeover_wait(),
+            reported_load: ReportedLoad::default(),
             cfg,
         }
     }
 
-    /// Returns the limit, with which warmth and configuration are set.
+    /// Returns the adaptive limit, for example to set configured limits or reset it to cold.
     pub const fn limit_mut(&mut self) -> &mut AdaptiveLimit {
         &mut self.limit
     }
 
-    /// Returns the permits that may be lent in all.
+    /// Returns the total number of permits that may be lent.
     #[must_use]
     pub fn limit(&self) -> Permits {
         self.limit.permits()
@@ -109,38 +109,38 @@
     /// Returns the permits that are lent or may still be in use.
     #[must_use]
     pub fn held(&self, now: Timestamp) -> Permits {
-        self.lent.values().map(|lent| lent.held(now)).sum()
+        self.nodes.values().map(|grants| grants.held(now)).sum()
     }
 
-    /// Takes the endpoint's own report.
+    /// Applies a load report of the endpoint.
     pub fn report(&mut self, now: Timestamp, report: &LoadReport) {
         self.limit.report(now, report);
-        self.running = Running {
+        self.reported_load = ReportedLoad {
             permits: Permits(report.running.0),
             valid_until: now + self.cfg.slice(),
         };
     }
 
-    /// Forgets what a node held that is known to have died: its connections are closed, and
-    /// with them its requests.
+    /// Releases the permits of a node that is known to have failed when its slice expires, since its
+    /// connections and with them its requests are closed.
     ///
-    /// Its slice still counts until it ends, since word of a death can be wrong.
-    pub fn node_gone(&mut self, node: &NodeId) {
-        if let Some(lent) = self.lent.get_mut(node) {
-            lent.linger_until = lent.valid_until;
+    /// The slice counts until it expires, since the failure may have been detected wrongly.
+    pub fn node_failed(&mut self, node: &NodeId) {
+        if let Some(grants) = self.nodes.get_mut(node) {
+            grants.linger_until = grants.valid_until;
         }
     }
 
-    /// Takes a node's demand and lends it a slice.
+    /// Applies a node's demand and lends the node a slice.
     ///
-    /// A demand that a later one has overtaken changes nothing: the node has dropped it, and what it
-    /// gives back isn't true any more.
+    /// A demand that arrives after a later one is ignored: the node no longer waits for its answer,
+    /// and may use the permits that the demand returned again.
     pub fn borrow(&mut self, now: Timestamp, node: &NodeId, demand: &Demand) -> Slice {
-        let overtaken = self
-            .lent
+        let is_outdated = self
+            .nodes
             .get(node)
-            .is_some_and(|lent| demand.asked < lent.asked);
-        if overtaken {
+            .is_some_and(|grants| demand.asked < grants.asked);
+        if is_outdated {
             return Slice {
                 permits: Permits(0),
                 valid_for: self.cfg.slice(),
@@ -148,20 +148,20 @@
         }
         self.limit.observe(now, &demand.sample);
         self.limit.step(now, self.in_use(now));
-        self.lent
-            .retain(|_, lent| now < lent.valid_until || lent.held(now) > Permits(0));
-        let mut lent = self.lent.swap_remove(node).unwrap_or_default();
-        lent.prune(now, &self.cfg);
-        lent.hear(demand);
-        let permits = self.grant(now, &lent);
+        self.nodes
+            .retain(|_, grants| now < grants.valid_until || grants.held(now) > Permits(0));
+        let mut grants = self.nodes.swap_remove(node).unwrap_or_default();
+        grants.remove_expired(now, &self.cfg);
+        grants.apply_demand(demand);
+        let permits = self.permits_for(now, &grants);
         let valid_until = now + self.cfg.slice();
-        lent.push(Grant {
+        grants.push(Grant {
             permits,
             valid_until,
         });
-        lent.valid_until = valid_until;
-        lent.linger_until = valid_until + self.cfg.linger();
-        self.lent.insert(node.clone(), lent);
+        grants.valid_until = valid_until;
+        grants.linger_until = valid_until + self.cfg.linger();
+        self.nodes.insert(node.clone(), grants);
         Slice {
             permits,
             valid_for: self.cfg.slice(),
@@ -169,41 +169,49 @@
     }
 
     fn in_use(&self, now: Timestamp) -> Permits {
-        let live = self.lent.values().filter(|lent| now < lent.linger_until);
-        live.map(|lent| lent.in_flight).sum()
+        let active = self
+            .nodes
+            .values()
+            .filter(|grants| now < grants.linger_until);
+        active.map(|grants| grants.in_flight).sum()
     }
 
-    /// Returns the most that a node may hold from now on; it is taken out of the others.
-    fn grant(&self, now: Timestamp, own: &Lent) -> Permits {
-        if now < self.lends_from || self.limit.is_suspect(now) {
+    /// Returns the number of permits to lend to a node, which isn't among `self.nodes` at this time.
+    fn permits_for(&self, now: Timestamp, own: &NodeGrants) -> Permits {
+        if now < self.lending_starts_at || self.limit.is_suspect(now) {
             return Permits(0);
         }
         let others = self.held(now);
-        let room = self
+        let available = self
             .limit
             .permits()
-            .saturating_sub(others + self.stray(now, others, own));
-        room.min(self.share(now, own))
+            .saturating_sub(others + self.unaccounted(now, others, own));
+        available.min(self.share(now, own))
     }
 
-    /// Returns what runs at the endpoint and no node accounts for: the work of nodes that a
-    /// former owner knew and this one doesn't.
-    fn stray(&self, now: Timestamp, others: Permits, own: &Lent) -> Permits {
-        if now >= self.running.valid_until {
+    /// Returns the number of running requests at the endpoint that no known node accounts for. They
+    /// belong to nodes that a former owner lent permits to.
+    fn unaccounted(&self, now: Timestamp, others: Permits, own: &NodeGrants) -> Permits {
+        if now >= self.reported_load.valid_until {
             return Permits(0);
         }
         let known = others + own.in_flight;
-        self.running.permits.saturating_sub(known)
+        self.reported_load.permits.saturating_sub(known)
     }
 
-    /// Returns a node's share by demand: what it wants and part of what nobody wants, or its
-    /// proportional part if more is wanted than there is.
-    fn share(&self, now: Timestamp, own: &Lent) -> Permits {
+    /// Returns a node's share of the limit by demand. If all demands can be met, this is the node's
+    /// own demand plus a part of the permits that no node wants, else a part of the limit in
+    /// proportion to its demand.
+    fn share(&self, now: Timestamp, own: &NodeGrants) -> Permits {
         let limit = u64::from(self.limit.permits().0);
         let mut wanted_by_others = 0;
         let mut nodes = 1;
-        for lent in self.lent.values().filter(|lent| now < lent.valid_until) {
-            wanted_by_others += u64::from(lent.wanted.max(lent.in_flight).0);
+        for grants in self
+            .nodes
+            .values()
+            .filter(|grants| now < grants.valid_until)
+        {
+            wanted_by_others += u64::from(grants.wanted.max(grants.in_flight).0);
             nodes += 1;
         }
         let own = u64::from(own.wanted.max(own.in_flight).0);
--- a/crates/sesamecart-decisions/src/allowance/tests.rs
+++ b/crates/sesamecart-decisions/src/allowance/tests.rs
@@ -22,14 +22,14 @@
     format!("node-{index}").parse().unwrap()
 }
 
-fn wants(permits: u32) -> Demand {
+fn demand(permits: u32) -> Demand {
     Demand {
         wanted: Permits(permits),
         ..Demand::default()
     }
 }
 
-fn gap(millis: u64, in_flight: u32) -> Demand {
+fn demand_with_token_gap(millis: u64, in_flight: u32) -> Demand {
     Demand {
         wanted: Permits(in_flight),
         in_flight: Permits(in_flight),
@@ -42,7 +42,7 @@
     }
 }
 
-/// An allowance whose owner has waited its predecessor's slices out, at its warm limit.
+/// An allowance at its warm limit, which lends from [`BEGIN`] on.
 fn warm() -> Allowance {
     let mut allowance = Allowance::new(at(0), LIMITS, AllowanceSettings::default());
     allowance.limit_mut().assume_warm();
@@ -51,7 +51,7 @@
 
 const BEGIN: u64 = 10_000;
 
-/// Books of an endpoint with 2,000 tokens of KV memory to each permit.
+/// A node's permits for an endpoint with 2,000 tokens of KV memory per permit.
 fn borrowed() -> Borrowed {
     Borrowed::new(LIMITS.kv_per_permit(), &AllowanceSettings::default())
 }
@@ -60,88 +60,88 @@
     ($($name:ident: $permits:literal permits, $running:expr, then $kv:literal => $fits:literal;)*) => {$(
         #[test]
         fn $name() {
-            let mut books = borrowed();
+            let mut borrowed = borrowed();
             let slice = Slice { permits: Permits($permits), valid_for: Duration::from_secs(1) };
-            books.demand(at(0), Permits(0));
-            books.take(at(0), slice);
-            books.finish(at(0), Tokens(0));
+            borrowed.demand(at(0), Permits(0));
+            borrowed.apply_slice(at(0), slice);
+            borrowed.finish(at(0), Tokens(0));
             for kv in $running {
-                assert!(books.start(at(1), Tokens(kv)));
+                assert!(borrowed.start(at(1), Tokens(kv)));
             }
-            assert_eq!(books.fits(at(1), Tokens($kv)), $fits);
+            assert_eq!(borrowed.fits(at(1), Tokens($kv)), $fits);
         }
     )*};
 }
 
 fits! {
-    short_requests_by_number: 4 permits, [500; 3], then 500 => true;
-    short_requests_up_to_their_number: 4 permits, [500; 4], then 500 => false;
-    a_long_request_by_its_memory: 4 permits, [500; 2], then 7_000 => true;
-    a_long_request_too_many: 4 permits, [500; 2], then 7_001 => false;
-    a_short_request_beside_a_long_one: 4 permits, [7_600], then 500 => false;
-    nothing_without_permits: 0 permits, [], then 0 => false;
+    short_request_within_the_permits: 4 permits, [500; 3], then 500 => true;
+    short_request_over_the_permits: 4 permits, [500; 4], then 500 => false;
+    long_request_within_the_memory: 4 permits, [500; 2], then 7_000 => true;
+    long_request_over_the_memory: 4 permits, [500; 2], then 7_001 => false;
+    short_request_beside_a_long_one_over_the_memory: 4 permits, [7_600], then 500 => false;
+    no_request_without_permits: 0 permits, [], then 0 => false;
 }
 
 #[test]
-fn demand_is_met_while_there_is_enough() {
+fn demand_is_met_below_the_limit() {
     let mut allowance = warm();
-    let slice = allowance.borrow(at(BEGIN), &node(0), &wants(5));
+    let slice = allowance.borrow(at(BEGIN), &node(0), &demand(5));
     assert!(slice.permits >= Permits(5));
-    let other = allowance.borrow(at(BEGIN), &node(1), &wants(5));
+    let other = allowance.borrow(at(BEGIN), &node(1), &demand(5));
     assert!(other.permits >= Permits(5));
 }
 
 #[test]
-fn scarce_permits_go_by_demand() {
+fn scarce_permits_are_shared_by_demand() {
     let mut allowance = warm();
     let mut lent = [Permits(0); 2];
     for round in 0..10 {
         for (index, wanted) in [(0, 60), (1, 20)] {
             let now = at(BEGIN + round * 400);
-            lent[index] = allowance.borrow(now, &node(index), &wants(wanted)).permits;
+            lent[index] = allowance.borrow(now, &node(index), &demand(wanted)).permits;
         }
     }
     assert_eq!(lent, [Permits(24), Permits(8)]);
 }
 
-/// A node dies with all of an endpoint's permits. Nobody can tell whether its requests still run,
-/// so they count until they must have ended, and then other nodes' callers are served again.
+/// A node that holds all permits of an endpoint stops responding. Its requests may still run, so its
+/// permits count until the requests must have ended, and are then lent to other nodes.
 #[test]
-fn a_dead_nodes_permits_come_back_by_time() {
+fn permits_of_an_unresponsive_node_expire() {
     let cfg = AllowanceSettings::default();
     let mut allowance = warm();
-    allowance.borrow(at(BEGIN), &node(0), &wants(32));
+    allowance.borrow(at(BEGIN), &node(0), &demand(32));
     let soon = at(BEGIN) + cfg.slice();
     assert_eq!(
-        allowance.borrow(soon, &node(1), &wants(32)).permits,
+        allowance.borrow(soon, &node(1), &demand(32)).permits,
         Permits(0)
     );
     let later = soon + cfg.linger();
     assert_eq!(
-        allowance.borrow(later, &node(1), &wants(32)).permits,
+        allowance.borrow(later, &node(1), &demand(32)).permits,
         Permits(32)
     );
 }
 
-/// The same, but the death is known, so its connections are closed and only the slice counts.
+/// The failure of a node is known and its connections are closed, so only its slice counts.
 #[test]
-fn a_node_that_is_known_dead_gives_back_with_the_end_of_its_slice() {
+fn permits_of_a_failed_node_expire_with_its_slice() {
     let mut allowance = warm();
-    allowance.borrow(at(BEGIN), &node(0), &wants(32));
-    allowance.node_gone(&node(0));
-    let before = allowance.borrow(at(BEGIN + 900), &node(1), &wants(32));
+    allowance.borrow(at(BEGIN), &node(0), &demand(32));
+    allowance.node_failed(&node(0));
+    let before = allowance.borrow(at(BEGIN + 900), &node(1), &demand(32));
     assert_eq!(before.permits, Permits(0));
-    let after = allowance.borrow(at(BEGIN + 1_000), &node(1), &wants(32));
+    let after = allowance.borrow(at(BEGIN + 1_000), &node(1), &demand(32));
     assert_eq!(after.permits, Permits(32));
 }
 
-/// The owner dies and another takes over. Nodes go on under slices that the new owner knows nothing
-/// of, so it lends nothing until they have ended, and then no more than the endpoint says is free.
+/// Nodes continue under slices of the previous owner that the new owner doesn't know. It lends
+/// nothing until they have expired, and then no more than the endpoint's load report leaves free.
 #[test]
-fn a_new_owner_waits_out_the_slices_of_its_predecessor() {
+fn new_owner_waits_for_its_predecessors_slices_to_expire() {
     let mut allowance = warm();
     assert_eq!(
-        allowance.borrow(at(1_000), &node(0), &wants(8)).permits,
+        allowance.borrow(at(1_000), &node(0), &demand(8)).permits,
         Permits(0)
     );
     let report = LoadReport {
@@ -151,97 +151,108 @@
     };
     allowance.report(at(1_100), &report);
     assert_eq!(
-        allowance.borrow(at(1_200), &node(0), &wants(8)).permits,
+        allowance.borrow(at(1_200), &node(0), &demand(8)).permits,
         Permits(2)
     );
 }
 
-fn climb(allowance: &mut Allowance, from: u64, seconds: u64, gap_ms: u64) {
+fn run_at_limit(allowance: &mut Allowance, from: u64, seconds: u64, gap_ms: u64) {
     for second in 0..seconds {
         let used = allowance.limit().0;
-        allowance.borrow(at(from + 1_000 * second), &node(0), &gap(gap_ms, used));
+        allowance.borrow(
+            at(from + 1_000 * second),
+            &node(0),
+            &demand_with_token_gap(gap_ms, used),
+        );
     }
 }
 
-/// A freshly started endpoint falls over under full load, and its callers lose their answers. It
-/// gets its cold share first and full load only after seconds of work that it has borne.
+/// An endpoint that has just started fails under full load. Its limit starts cold and reaches the
+/// warm limit only after seconds of use at an acceptable latency.
 #[test]
-fn a_cold_endpoint_warms_up_by_use() {
+fn limit_of_a_cold_endpoint_grows_with_use() {
     let mut allowance = Allowance::new(at(0), LIMITS, AllowanceSettings::default());
     assert_eq!(allowance.limit(), Permits(4));
-    climb(&mut allowance, BEGIN, 5, 15);
+    run_at_limit(&mut allowance, BEGIN, 5, 15);
     assert!(
         (6..=12).contains(&allowance.limit().0),
         "{}",
         allowance.limit()
     );
-    climb(&mut allowance, BEGIN + 5_000, 16, 15);
+    run_at_limit(&mut allowance, BEGIN + 5_000, 16, 15);
     assert_eq!(allowance.limit(), Permits(32));
 }
 
-/// An engine is restarted, and its nodes' requests there break at the same moment. Each node asks
-/// for a new slice at once, before the owner knows that it isn't just one broken connection. If it
-/// lent each of them a little, the cold engine would have to take several times what it bears.
+/// When an engine restarts, the requests of all nodes fail at the same time and each node demands a
+/// new slice, before the owner can tell a restart from one broken connection. If the owner lent each
+/// of them a few permits, the cold engine would run several times its cold limit.
 #[test]
-fn nothing_is_lent_between_the_first_sign_of_a_restart_and_the_second() {
+fn nothing_is_lent_between_the_first_failure_and_the_second() {
     let mut allowance = warm();
     let sample = Sample {
         failed: 1,
         ..Sample::default()
     };
-    let failed = Demand { sample, ..wants(4) };
+    let failed = Demand {
+        sample,
+        ..demand(4)
+    };
     let first = allowance.borrow(at(BEGIN), &node(0), &failed);
     assert_eq!(first.permits, Permits(0));
     assert_eq!(
         allowance.limit(),
         Permits(32),
-        "one failure may be the network's"
+        "one failure may be caused by the network"
     );
     allowance.borrow(at(BEGIN + 10), &node(1), &failed);
     assert_eq!(allowance.limit(), Permits(4));
 }
 
-/// An endpoint bears one request while cold. The limit grows by less than one whole request at a
-/// time; were its use compared with the fraction, it would never grow and callers would be refused
-/// until the endpoint is replaced.
+/// The limit of an endpoint with a cold limit of one grows by fractions of a request. If its use were
+/// compared with the fractional value, it would never grow, and requests would be refused until the
+/// endpoint is replaced.
 #[test]
-fn an_endpoint_that_bears_one_request_when_cold_warms_up() {
+fn limit_grows_from_a_cold_limit_of_one() {
     let limits = EndpointLimits {
         cold: Concurrency(1),
         ..LIMITS
     };
     let mut allowance = Allowance::new(at(0), limits, AllowanceSettings::default());
-    climb(&mut allowance, BEGIN, 40, 15);
+    run_at_limit(&mut allowance, BEGIN, 40, 15);
     assert_eq!(allowance.limit(), Permits(32));
 }
 
 #[test]
-fn an_idle_cold_endpoint_stays_cold() {
+fn limit_of_an_idle_cold_endpoint_stays_cold() {
     let mut allowance = Allowance::new(at(0), LIMITS, AllowanceSettings::default());
     for second in 0..60 {
-        allowance.borrow(at(BEGIN + 1_000 * second), &node(0), &gap(15, 0));
+        allowance.borrow(
+            at(BEGIN + 1_000 * second),
+            &node(0),
+            &demand_with_token_gap(15, 0),
+        );
     }
     assert_eq!(allowance.limit(), Permits(4));
 }
 
-macro_rules! turns_cold {
-    ($($(#[doc = $doc:literal])* $name:ident: $sign:expr;)*) => {$(
+macro_rules! resets_to_cold {
+    ($($(#[doc = $doc:literal])* $name:ident: $trigger:expr;)*) => {$(
         $(#[doc = $doc])*
         #[test]
         fn $name() {
             let mut allowance = warm();
-            climb(&mut allowance, BEGIN, 5, 20);
+            run_at_limit(&mut allowance, BEGIN, 5, 20);
             assert_eq!(allowance.limit(), Permits(32));
-            let sign: fn(&mut Allowance, Timestamp) = $sign;
-            sign(&mut allowance, at(BEGIN + 6_000));
+            let trigger: fn(&mut Allowance, Timestamp) = $trigger;
+            trigger(&mut allowance, at(BEGIN + 6_000));
             assert!(allowance.limit() <= Permits(4), "{}", allowance.limit());
         }
     )*};
 }
 
-turns_cold! {
-    /// An engine is restarted behind the system's back and reports another life.
-    after_a_restart_that_is_reported: |allowance, now| {
+resets_to_cold! {
+    /// A restart that the system didn't order shows as a new incarnation in the load report.
+    after_a_new_incarnation: |allowance, now| {
         for incarnation in [1, 2] {
             let report = LoadReport {
                 incarnation: Incarnation(incarnation),
@@ -251,106 +262,106 @@
             allowance.report(now, &report);
         }
     };
-    /// An engine is restarted, and nodes see their requests fail before its report arrives.
+    /// Nodes see requests fail after a restart before the endpoint's load report arrives.
     after_failures: |allowance, now| {
         let sample = Sample { failed: 5, ..Sample::default() };
-        let demand = Demand { sample, ..wants(5) };
+        let demand = Demand { sample, ..demand(5) };
         allowance.borrow(now, &node(0), &demand);
     };
-    /// An engine lost what made it fast, and tokens come ten times slower.
-    after_very_slow_tokens: |allowance, now| {
-        allowance.borrow(now, &node(0), &gap(200, 20));
+    /// An engine has become cold without a restart, and tokens are ten times slower.
+    after_very_high_latency: |allowance, now| {
+        allowance.borrow(now, &node(0), &demand_with_token_gap(200, 20));
     };
 }
 
-/// Tokens come somewhat too slowly, so readers see the text stutter. The limit falls step by step
-/// until they come in time, and doesn't drop to cold.
+/// While the inter-token time is moderately too long, the limit shrinks step by step instead of
+/// dropping to the cold limit.
 #[test]
-fn a_limit_falls_until_latency_is_bearable() {
+fn limit_shrinks_while_latency_is_too_high() {
     let mut allowance = warm();
-    climb(&mut allowance, BEGIN, 3, 15);
-    climb(&mut allowance, BEGIN + 3_000, 4, 45);
-    let fallen = allowance.limit().0;
-    assert!((10..32).contains(&fallen), "{fallen}");
+    run_at_limit(&mut allowance, BEGIN, 3, 15);
+    run_at_limit(&mut allowance, BEGIN + 3_000, 4, 45);
+    let limit = allowance.limit().0;
+    assert!((10..32).contains(&limit), "{limit}");
 }
 
-/// An endpoint was restarted while a node had nothing running there, so it noticed nothing and holds
-/// a slice that was lent for the warm endpoint. It starts one request and waits for a first token.
+/// An endpoint was restarted while a node had no requests there, so the node still holds a slice
+/// under the warm limit. It starts one request and waits for the first token.
 #[test]
-fn without_a_sign_of_life_one_request_starts() {
-    let mut books = borrowed();
+fn one_request_starts_at_an_endpoint_not_known_to_be_alive() {
+    let mut borrowed = borrowed();
     let slice = Slice {
         permits: Permits(5),
         valid_for: Duration::from_secs(1),
     };
-    books.demand(at(0), Permits(0));
-    books.take(at(0), slice);
-    assert!(books.start(at(1), Tokens(500)));
-    assert!(!books.start(at(2), Tokens(500)));
+    borrowed.demand(at(0), Permits(0));
+    borrowed.apply_slice(at(0), slice);
+    assert!(borrowed.start(at(1), Tokens(500)));
+    assert!(!borrowed.start(at(2), Tokens(500)));
     let token = Sample {
         tokens: Tokens(1),
         ..Sample::default()
     };
-    books.observe(at(3), &token);
-    assert!(books.start(at(4), Tokens(500)));
+    borrowed.observe(at(3), &token);
+    assert!(borrowed.start(at(4), Tokens(500)));
 }
 
-/// A node's slice is halved, but the answer that says so is lost, and the node goes on under the
-/// earlier slice. Were the other half lent at once, more would run than the endpoint bears.
+/// A node's slice is halved, but the answer is lost and the node continues under the earlier slice.
+/// If the other half were lent at once, more requests would run than the limit allows.
 #[test]
-fn a_slice_counts_until_its_end_though_a_smaller_one_followed() {
+fn slice_counts_until_it_expires_after_a_smaller_one() {
     let mut allowance = warm();
-    let first = allowance.borrow(at(BEGIN), &node(0), &wants(32));
+    let first = allowance.borrow(at(BEGIN), &node(0), &demand(32));
     assert_eq!(first.permits, Permits(32));
-    allowance.borrow(at(BEGIN + 10), &node(1), &wants(32));
-    let halved = allowance.borrow(at(BEGIN + 400), &node(0), &wants(32));
+    allowance.borrow(at(BEGIN + 10), &node(1), &demand(32));
+    let halved = allowance.borrow(at(BEGIN + 400), &node(0), &demand(32));
     assert_eq!(halved.permits, Permits(16));
-    let early = allowance.borrow(at(BEGIN + 410), &node(1), &wants(32));
+    let early = allowance.borrow(at(BEGIN + 410), &node(1), &demand(32));
     assert_eq!(early.permits, Permits(0));
-    allowance.borrow(at(BEGIN + 1_300), &node(0), &wants(32));
-    let late = allowance.borrow(at(BEGIN + 1_310), &node(1), &wants(32));
+    allowance.borrow(at(BEGIN + 1_300), &node(0), &demand(32));
+    let late = allowance.borrow(at(BEGIN + 1_310), &node(1), &demand(32));
     assert_eq!(late.permits, Permits(16));
 }
 
-/// A demand that gave permits back was delayed, and the node has asked for them again meanwhile. Were
-/// the owner to believe the old one, it would lend the same permits to another node too.
+/// A demand that returned permits is delayed, and the node has borrowed them again meanwhile. If the
+/// owner applied the old demand, it would also lend the same permits to another node.
 #[test]
-fn an_overtaken_demand_changes_nothing() {
+fn outdated_demand_is_ignored() {
     let mut allowance = warm();
     let later = Demand {
         asked: at(20),
-        ..wants(8)
+        ..demand(8)
     };
     allowance.borrow(at(BEGIN), &node(0), &later);
     let earlier = Demand {
         asked: at(10),
-        ..wants(0)
+        ..demand(0)
     };
     let slice = allowance.borrow(at(BEGIN), &node(0), &earlier);
     assert_eq!(slice.permits, Permits(0));
-    let other = allowance.borrow(at(BEGIN), &node(1), &wants(32));
+    let other = allowance.borrow(at(BEGIN), &node(1), &demand(32));
     assert!(other.permits <= Permits(24), "{other:?}");
 }
 
-/// An answer comes after the node has asked again and given back what it didn't want. Were it taken,
-/// the node would use permits that the owner may have lent to others.
+/// An answer arrives after the node has sent another demand that returned permits. If the node
+/// applied it, it would use permits that the owner may have lent to other nodes.
 #[test]
-fn only_the_answer_to_the_last_demand_counts() {
-    let mut books = borrowed();
+fn only_the_answer_to_the_last_demand_is_applied() {
+    let mut borrowed = borrowed();
     let slice = Slice {
         permits: Permits(5),
         valid_for: Duration::from_secs(1),
     };
-    books.demand(at(0), Permits(5));
-    books.demand(at(300), Permits(0));
-    books.take(at(0), slice);
-    assert!(!books.fits(at(310), Tokens(0)));
-    books.take(at(300), slice);
-    assert!(books.fits(at(310), Tokens(0)));
+    borrowed.demand(at(0), Permits(5));
+    borrowed.demand(at(300), Permits(0));
+    borrowed.apply_slice(at(0), slice);
+    assert!(!borrowed.fits(at(310), Tokens(0)));
+    borrowed.apply_slice(at(300), slice);
+    assert!(borrowed.fits(at(310), Tokens(0)));
 }
 
 #[test]
-fn a_failure_ends_a_nodes_slice_until_the_owner_has_answered_again() {
+fn failure_invalidates_a_slice_until_the_next_answer() {
     let cfg = AllowanceSettings::default();
     let mut borrowed = borrowed();
     let slice = Slice {
@@ -358,16 +369,16 @@
         valid_for: cfg.slice(),
     };
     borrowed.demand(at(0), Permits(0));
-    borrowed.take(at(0), slice);
+    borrowed.apply_slice(at(0), slice);
     assert!(borrowed.start(at(10), Tokens(500)));
     borrowed.demand(at(15), Permits(0));
     borrowed.fail(at(20), Tokens(500));
-    borrowed.take(at(15), slice);
+    borrowed.apply_slice(at(15), slice);
     assert!(
         !borrowed.start(at(30), Tokens(500)),
-        "this answer doesn't know of the failure"
+        "this answer is from before the failure"
     );
     borrowed.demand(at(25), Permits(0));
-    borrowed.take(at(25), slice);
+    borrowed.apply_slice(at(25), slice);
     assert!(borrowed.start(at(30), Tokens(500)));
 }
--- a/crates/sesamecart-decisions/src/allowance/tests/lending.rs
+++ b/crates/sesamecart-decisions/src/allowance/tests/lending.rs
@@ -1,4 +1,4 @@
-//! One endpoint's permits between an owner and three nodes over links that lose and reorder.
+//! Property test of lending between an owner and three nodes, over links that lose and reorder messages.
 
 use std::time::Duration;
 
@@ -9,26 +9,28 @@
 use crate::allowance::{Allowance, Borrowed, Demand, Slice};
 use crate::settings::AllowanceSettings;
 
-/// Messages are lost, delayed and overtaken, nodes fall silent and speak again, and owners change.
-/// At no time may more run at the endpoint than its limit; a cold one would fall over and take
-/// every caller's answer with it.
+/// Messages are lost, delayed and reordered, and nodes pause and continue. The permits in use must
+/// never exceed the endpoint's limit; an overloaded cold endpoint fails together with all its requests.
 #[test]
-fn never_more_than_the_limit_runs() {
+fn permits_in_use_never_exceed_the_limit() {
     check_property(bolero::produce::<u64>(), |seed| {
         let mut rng = fastrand::Rng::with_seed(*seed);
-        let mut play = LendingPlay::new();
+        let mut simulation = Simulation::new();
         for _ in 0..STEPS {
-            play.step(rng.u8(..), rng.usize(..3), rng.u8(..));
-            assert!(play.in_flight() <= play.allowance.limit(), "{play:?}");
-            assert!(play.kv() <= LIMITS.kv_tokens, "{play:?}");
+            simulation.step(rng.u8(..), rng.usize(..3), rng.u8(..));
+            assert!(
+                simulation.in_flight() <= simulation.allowance.limit(),
+                "{simulation:?}"
+            );
+            assert!(simulation.kv() <= LIMITS.kv_tokens, "{simulation:?}");
         }
     });
 }
 
-/// The steps of one play; slices are renewed, lost and replaced some ten times in it.
+/// The number of steps per run, in which slices are renewed, lost and replaced about ten times.
 const STEPS: usize = 400;
 
-/// An answer on its way to a node.
+/// An answer in flight to a node.
 #[derive(Clone, Copy, Debug)]
 struct Answer {
     node: usize,
@@ -36,26 +38,26 @@
     slice: Slice,
 }
 
-/// A demand on its way to the owner.
+/// A demand in flight to the owner.
 #[derive(Clone, Copy, Debug)]
-struct Asked {
+struct SentDemand {
     node: usize,
     at: Timestamp,
     demand: Demand,
 }
 
 #[derive(Debug)]
-struct LendingPlay {
+struct Simulation {
     cfg: AllowanceSettings,
     now: Timestamp,
     allowance: Allowance,
     nodes: [Borrowed; 3],
     running: [Vec<Tokens>; 3],
-    asked: Vec<Asked>,
+    demands: Vec<SentDemand>,
     answers: Vec<Answer>,
 }
 
-impl LendingPlay {
+impl Simulation {
     fn new() -> Self {
         Self {
             cfg: AllowanceSettings::default(),
@@ -63,7 +65,7 @@
             allowance: warm(),
             nodes: [borrowed(), borrowed(), borrowed()],
             running: Default::default(),
-            asked: Vec::new(),
+            demands: Vec::new(),
             answers: Vec::new(),
         }
     }
@@ -79,10 +81,10 @@
     fn step(&mut self, kind: u8, node: usize, amount: u8) {
         match kind % 8 {
             0 => self.now = self.now + Duration::from_millis(u64::from(amount) * 2),
-            1 => self.ask(node, amount),
+            1 => self.send_demand(node, amount),
             2 => self.deliver_demand(amount),
             3 => self.deliver_answer(amount),
-            4 => drop(self.asked.pop()),
+            4 => drop(self.demands.pop()),
             5 => drop(self.answers.pop()),
             6 => {
                 let kv = Tokens(u64::from(amount) * 40);
@@ -99,29 +101,31 @@
         }
     }
 
-    fn ask(&mut self, node: usize, amount: u8) {
-        if !self.nodes[node].may_ask(self.now, &self.cfg) {
+    fn send_demand(&mut self, node: usize, amount: u8) {
+        if !self.nodes[node].may_send_demand(self.now, &self.cfg) {
             return;
         }
         let demand = self.nodes[node].demand(self.now, Permits(u32::from(amount % 40)));
         let at = self.now;
-        self.asked.push(Asked { node, at, demand });
+        self.demands.push(SentDemand { node, at, demand });
     }
 
-    /// Delivers a demand, unless the node has given it up: the link then drops it.
+    /// Delivers a demand, unless it has timed out at the node, in which case the link drops it.
     fn deliver_demand(&mut self, amount: u8) {
-        if self.asked.is_empty() {
+        if self.demands.is_empty() {
             return;
         }
-        let asked = self.asked.remove(usize::from(amount) % self.asked.len());
-        if self.now > asked.at + self.cfg.borrow_timeout() {
+        let sent = self
+            .demands
+            .remove(usize::from(amount) % self.demands.len());
+        if self.now > sent.at + self.cfg.borrow_timeout() {
             return;
         }
-        let name = node(asked.node);
-        let slice = self.allowance.borrow(self.now, &name, &asked.demand);
+        let name = node(sent.node);
+        let slice = self.allowance.borrow(self.now, &name, &sent.demand);
         self.answers.push(Answer {
-            node: asked.node,
-            asked: asked.at,
+            node: sent.node,
+            asked: sent.at,
             slice,
         });
     }
@@ -133,6 +137,6 @@
         let answer = self
             .answers
             .remove(usize::from(amount) % self.answers.len());
-        self.nodes[answer.node].take(answer.asked, answer.slice);
+        self.nodes[answer.node].apply_slice(answer.asked, answer.slice);
     }
 }
--- a/crates/sesamecart-decisions/src/pool.rs
+++ b/crates/sesamecart-decisions/src/pool.rs
@@ -1,69 +1,69 @@
-//! One pool of endpoints at one node: admission, routing and retries put together.
+//! One pool of endpoints at one node, which combines admission, routing and retries.
 //!
-//! The node's traffic threads and `measure -- policy` both go through it, so that what is measured
-//! is what runs.
+//! The node's traffic threads and `measure -- policy` both use this module, so that the measured code
+//! is the code in production.
 
 use fastrand::Rng;
 use sesamecart_vocabulary::{
     Concurrency, EndpointId, FailureDomainId, NodeId, Permits, Timestamp, Tokens,
 };
 
-use crate::admission::{Admission, Offer, Refusal, Request, Ticket};
+use crate::admission::{Admission, AdmissionDecision, Refusal, Request, Ticket};
 use crate::allowance::{Demand, Sample, Slice};
 use crate::retry::{FailedAttempt, RetryBudget, RetryDecision};
-use crate::routing::{Ask, EndpointState, PoolEndpoint, RouteReason, Router};
+use crate::routing::{EndpointState, PoolEndpoint, RouteReason, RouteRequest, Router};
 use crate::settings::DecisionSettings;
 
 #[cfg(test)]
 mod tests;
 
-/// Who a node is, as its pools need to know it.
+/// A node's id and failure domain, and the nodes that it shares pools with.
 #[derive(Clone, Debug)]
 pub struct NodePlace {
-    /// Its name.
+    /// The node's id.
     pub node: NodeId,
-    /// The failure domain that it lies in.
+    /// The node's failure domain.
     pub domain: FailureDomainId,
-    /// All nodes that share the pool, this one included.
+    /// All nodes that share the pool, including this one.
     pub nodes: Vec<NodeId>,
 }
 
-/// A request that starts now.
+/// A request to start now.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Start {
-    /// The request.
+    /// The ticket of the request.
     pub ticket: Ticket,
-    /// Its endpoint's place among [`Pool::endpoints`].
+    /// The index of its endpoint in [`Pool::endpoints`].
     pub endpoint: usize,
-    /// Why it goes there.
+    /// Why the endpoint was chosen.
     pub reason: RouteReason,
 }
 
-/// What becomes of a request.
+/// The decision about a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Placement {
-    /// It starts.
+    /// The request starts.
     Run(Start),
-    /// It waits, and [`Pool::poll`] tells what becomes of it.
+    /// The request waits; [`Pool::poll`] returns the decision later.
     Wait,
-    /// It was not run, and this is final.
+    /// The request is refused without having run.
     Refuse(Refusal),
 }
 
-/// One endpoint's demand, to be sent to its owner.
+/// A demand to send to the owner of one endpoint.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct EndpointDemand {
-    /// The endpoint's place among [`Pool::endpoints`].
+    /// The index of the endpoint in [`Pool::endpoints`].
     pub endpoint: usize,
-    /// What the node tells its owner.
+    /// The demand.
     pub demand: Demand,
 }
 
-/// How many endpoints are asked for each permit that is wanted, if fewer are wanted than there are
-/// endpoints: a second one for when the first has none left.
-const ASK_AROUND: u32 = 2;
+/// The number of endpoints to ask for each wanted permit, if fewer permits are wanted than there are
+/// endpoints. The second endpoint covers the case that the first has no permits left.
+const ENDPOINTS_ASKED_PER_PERMIT: u32 = 2;
 
-/// All decisions of one pool at one node.
+/// Admission, routing and retries for one pool at one node.
 #[derive(Debug)]
 pub struct Pool {
     cfg: DecisionSettings,
@@ -75,7 +75,7 @@
 }
 
 impl Pool {
-    /// Makes a pool whose random draws follow from `seed`.
+    /// Creates a pool whose random choices are determined by `seed`.
     #[must_use]
     pub fn new(
         place: &NodePlace,
@@ -99,9 +99,9 @@
         }
     }
 
-    /// Sets the largest request, by KV memory, that any endpoint of the pool could ever hold.
+    /// Sets the KV memory of the largest request that any endpoint of the pool can hold when idle.
     pub const fn set_largest(&mut self, largest: Tokens) {
-        self.admission.set_largest(largest);
+        self.admission.set_max_request_kv(largest);
     }
 
     /// Returns the endpoints that this node uses.
@@ -110,57 +110,61 @@
         self.router.endpoints()
     }
 
-    /// Returns the place of an endpoint, if this node uses it.
+    /// Returns the index of an endpoint, if this node uses it.
     #[must_use]
     pub fn find(&self, id: &EndpointId) -> Option<usize> {
-        self.endpoints().iter().position(|known| known.id == *id)
+        self.endpoints()
+            .iter()
+            .position(|endpoint| endpoint.id == *id)
     }
 
-    /// Returns the router, to which cache events go.
+    /// Returns the router, to report cache events to it.
     pub const fn router_mut(&mut self) -> &mut Router {
         &mut self.router
     }
 
-    /// Returns the number of requests that wait.
+    /// Returns the number of waiting requests.
     #[must_use]
     pub fn waiting(&self) -> usize {
         self.admission.waiting()
     }
 
-    /// Returns when [`Pool::poll`] has to be called at the latest.
+    /// Returns the time by which [`Pool::poll`] has to be called.
     #[must_use]
     pub fn next_expiry(&self) -> Option<Timestamp> {
         self.admission.next_expiry()
     }
 
-    /// Lets an endpoint have new work or not.
+    /// Sets whether an endpoint receives new work.
     ///
-    /// One that comes back is cold, and what was lent before says nothing about it, so its slice is
-    /// dropped and the owner is asked again.
+    /// An endpoint that becomes active again is cold, and permits lent before don't apply to it. Its
+    /// slice is therefore invalidated and the owner is asked for a new one.
     pub fn set_state(&mut self, now: Timestamp, endpoint: usize, state: EndpointState) {
-        let known = &mut self.router.endpoints_mut()[endpoint];
-        let returns = known.state == EndpointState::Draining && state == EndpointState::Active;
-        known.state = state;
-        if returns {
-            known.borrowed.drop_slice(now);
-            self.router.restarted(endpoint);
+        let target = &mut self.router.endpoints_mut()[endpoint];
+        let is_reactivated =
+            target.state == EndpointState::Draining && state == EndpointState::Active;
+        target.state = state;
+        if is_reactivated {
+            target.borrowed.invalidate_slice(now);
+            self.router.endpoint_restarted(endpoint);
         }
     }
 
-    /// Takes a new request.
+    /// Decides about a new request.
     pub fn offer(&mut self, now: Timestamp, request: Request) -> Placement {
-        self.budget.first_attempt();
-        self.place(now, request)
+        self.budget.record_first_attempt();
+        self.decide(now, request)
     }
 
-    /// Takes a request again whose attempt failed and for which [`Pool::fail`] said to retry.
+    /// Decides about a request whose attempt failed and for which [`Pool::fail`] returned
+    /// [`RetryDecision::Retry`].
     pub fn offer_again(&mut self, now: Timestamp, request: Request) -> Placement {
-        self.place(now, request)
+        self.decide(now, request)
     }
 
-    /// Returns what becomes of waiting requests: refusals first, then starts.
+    /// Returns the decisions about waiting requests: refusals first, then starts.
     ///
-    /// Call it after an answer from an owner, after the end of a request, and at
+    /// Call this after an owner has answered, after a request has ended, and at
     /// [`Pool::next_expiry`].
     pub fn poll(&mut self, now: Timestamp) -> Vec<Placement> {
         let refused = self.admission.expire(now).into_iter();
@@ -169,52 +173,56 @@
             return placements;
         }
         loop {
-            let largest = self.router.largest(now);
-            let fits = |request: &Request| largest.is_some_and(|largest| request.kv <= largest);
+            let max_kv = self.router.max_request_kv(now);
+            let fits = |request: &Request| max_kv.is_some_and(|max_kv| request.kv <= max_kv);
             let Some(request) = self.admission.next(now, fits) else {
                 return placements;
             };
-            let ask = self.ask(&request);
-            let start = self.start(now, request.ticket, ask);
+            let route_request = self.route_request(&request);
+            let start = self.start(now, request.ticket, route_request);
             placements.extend(start.map(Placement::Run));
         }
     }
 
-    /// Takes out a request whose caller has gone while it waited.
+    /// Removes a waiting request whose caller has disconnected.
     pub fn cancel(&mut self, ticket: Ticket) -> bool {
         self.admission.cancel(ticket).is_some()
     }
 
-    /// Ends a request that was answered; `seen` are its times between tokens, or its own time at a
-    /// plain service.
-    pub fn finish(&mut self, now: Timestamp, endpoint: usize, kv: Tokens, seen: &Sample) {
+    /// Ends a request that completed. `sample` has its inter-token times, or its latency at a plain
+    /// service.
+    pub fn finish(&mut self, now: Timestamp, endpoint: usize, kv: Tokens, sample: &Sample) {
         let borrowed = &mut self.router.endpoints_mut()[endpoint].borrowed;
         borrowed.finish(now, kv);
-        self.observe(now, endpoint, seen);
+        self.observe(now, endpoint, sample);
     }
 
-    /// Ends a request whose caller has gone while it ran.
+    /// Ends a running request whose caller has disconnected.
     pub fn abandon(&mut self, endpoint: usize, kv: Tokens) {
         self.router.endpoints_mut()[endpoint].borrowed.cancel(kv);
     }
 
-    /// Notes times between tokens of requests that still run, so that a slow endpoint is noticed
-    /// before they end.
-    pub fn observe(&mut self, now: Timestamp, endpoint: usize, seen: &Sample) {
+    /// Records inter-token times of running requests, so that a slow endpoint is detected before
+    /// they end.
+    pub fn observe(&mut self, now: Timestamp, endpoint: usize, sample: &Sample) {
         let borrowed = &mut self.router.endpoints_mut()[endpoint].borrowed;
-        borrowed.observe(now, seen);
-        if seen.tokens.0 > 0 {
-            let latency = seen.latency.as_secs_f64() / seen.tokens.0 as f64;
-            self.router.outliers_mut().succeeded(now, endpoint, latency);
+        borrowed.observe(now, sample);
+        if sample.tokens.0 > 0 {
+            let latency = sample.latency.as_secs_f64() / sample.tokens.0 as f64;
+            self.router
+                .outliers_mut()
+                .record_success(now, endpoint, latency);
         }
     }
 
-    /// Notes a sign of life from an endpoint, such as the first token of an answer.
+    /// Records that an endpoint is alive, for example when the first token of a response arrives.
     pub fn alive(&mut self, now: Timestamp, endpoint: usize) {
-        self.router.endpoints_mut()[endpoint].borrowed.alive(now);
+        self.router.endpoints_mut()[endpoint]
+            .borrowed
+            .record_alive(now);
     }
 
-    /// Ends a request that failed, and decides whether it is sent again.
+    /// Ends a request that failed, and decides whether it is retried.
     pub fn fail(
         &mut self,
         now: Timestamp,
@@ -224,25 +232,31 @@
     ) -> RetryDecision {
         let borrowed = &mut self.router.endpoints_mut()[endpoint].borrowed;
         borrowed.fail(now, kv);
-        self.router.outliers_mut().failed(now, endpoint);
+        self.router.outliers_mut().record_failure(now, endpoint);
         self.budget.decide(now, attempt)
     }
 
-    /// Returns the demands that are due: slices to renew, and all of them when requests wait for
-    /// lack of permits, though not more often than once in the borrow gap.
+    /// Returns the demands that are due: renewals of slices, and, while requests wait for permits,
+    /// requests for additional permits at most once per [`AllowanceSettings::borrow_gap`].
+    ///
+    /// [`AllowanceSettings::borrow_gap`]: crate::settings::AllowanceSettings::borrow_gap
     pub fn demands(&mut self, now: Timestamp) -> Vec<EndpointDemand> {
-        let waiting = self.admission.waiting() > 0 && now >= self.next_borrow;
-        if waiting {
+        let is_waiting = self.admission.waiting() > 0 && now >= self.next_borrow;
+        if is_waiting {
             self.next_borrow = now + self.cfg.allowance.borrow_gap();
         }
-        let extra = if waiting { self.extra() } else { Vec::new() };
+        let additional = if is_waiting {
+            self.additional_permits()
+        } else {
+            Vec::new()
+        };
         let allowance = self.cfg.allowance;
         let mut demands = Vec::new();
         for (index, endpoint) in self.router.endpoints_mut().iter_mut().enumerate() {
             let borrowed = &mut endpoint.borrowed;
-            let more = extra.get(index).copied().unwrap_or_default();
+            let more = additional.get(index).copied().unwrap_or_default();
             let due = more > Permits(0) || borrowed.needs_renewal(now, &allowance);
-            if !due || !borrowed.may_ask(now, &allowance) {
+            if !due || !borrowed.may_send_demand(now, &allowance) {
                 continue;
             }
             demands.push(EndpointDemand {
@@ -253,104 +267,113 @@
         demands
     }
 
-    /// Takes an owner's answer to the demand that was sent at `asked`.
+    /// Applies an owner's answer to the demand that was sent at `asked`.
     pub fn lend(&mut self, asked: Timestamp, endpoint: usize, slice: Slice) {
         self.router.endpoints_mut()[endpoint]
             .borrowed
-            .take(asked, slice);
+            .apply_slice(asked, slice);
     }
 
-    /// Returns for each endpoint the permits to ask for beyond those in use, because requests wait.
+    /// Returns how many permits to request from each endpoint for waiting requests, in addition to
+    /// those in use.
     ///
-    /// What waits is spread evenly. For less than one permit each, only some random endpoints are
-    /// asked: asked everywhere for one request, owners would lend many permits of which all but
-    /// one lie idle until they are given back.
-    fn extra(&mut self) -> Vec<Permits> {
-        let mut extra = vec![Permits(0); self.endpoints().len()];
-        let mut active: Vec<usize> = self.active().map(|(index, _)| index).collect();
+    /// The wanted permits are spread evenly. If that is less than one permit per endpoint, only a
+    /// few random endpoints are asked: if all were asked for a single request, their owners would
+    /// lend many permits of which all but one stay idle until they are returned.
+    fn additional_permits(&mut self) -> Vec<Permits> {
+        let mut additional = vec![Permits(0); self.endpoints().len()];
+        let mut active: Vec<usize> = self.active_endpoints().map(|(index, _)| index).collect();
         let permits = self.waiting_permits();
         if active.is_empty() || permits == 0 {
-            return extra;
+            return additional;
         }
         let count = u32::try_from(active.len()).unwrap_or(u32::MAX);
-        if ASK_AROUND * permits < count {
+        if ENDPOINTS_ASKED_PER_PERMIT * permits < count {
             self.rng.shuffle(&mut active);
-            active.truncate((ASK_AROUND * permits) as usize);
+            active.truncate((ENDPOINTS_ASKED_PER_PERMIT * permits) as usize);
         }
         for index in active {
-            extra[index] = Permits(permits.div_ceil(count));
+            additional[index] = Permits(permits.div_ceil(count));
         }
-        if let Some(target) = self.target_of_largest() {
-            extra[target.endpoint] = extra[target.endpoint].max(target.permits);
+        if let Some(target) = self.target_for_largest_request() {
+            additional[target.endpoint] = additional[target.endpoint].max(target.permits);
         }
-        extra
+        additional
     }
 
-    /// Returns the permits that the waiting requests take.
+    /// Returns the number of permits that the waiting requests need.
     fn waiting_permits(&self) -> u32 {
-        let Some((_, first)) = self.active().next() else {
+        let Some((_, first)) = self.active_endpoints().next() else {
             return 0;
         };
-        let each = self.admission.waiting_kv();
-        let each = each.map(|kv| first.borrowed.permits_for(Concurrency(1), kv).0);
-        each.sum()
+        let kv = self.admission.waiting_kv();
+        let permits = kv.map(|kv| first.borrowed.permits_for(Concurrency(1), kv).0);
+        permits.sum()
     }
 
-    /// Picks one endpoint to ask for all the permits that the largest waiting request takes.
+    /// Selects one endpoint to ask for all permits that the largest waiting request needs.
     ///
-    /// An even share of many endpoints never adds up to one long request, which would then wait
-    /// until its deadline while short ones pass.
-    fn target_of_largest(&self) -> Option<Target> {
+    /// A long request needs several permits of the same endpoint, which an even share doesn't give.
+    /// It would otherwise wait until its deadline while short requests bypass it.
+    fn target_for_largest_request(&self) -> Option<BorrowTarget> {
         let largest = self.admission.waiting_kv().max()?;
-        let least = self
-            .active()
-            .min_by_key(|(_, known)| known.borrowed.in_flight());
-        let (endpoint, known) = least?;
-        let permits = known.borrowed.permits_for(Concurrency(1), largest);
-        (permits > Permits(1)).then_some(Target { endpoint, permits })
+        let least_loaded = self
+            .active_endpoints()
+            .min_by_key(|(_, endpoint)| endpoint.borrowed.in_flight());
+        let (index, endpoint) = least_loaded?;
+        let permits = endpoint.borrowed.permits_for(Concurrency(1), largest);
+        (permits > Permits(1)).then_some(BorrowTarget {
+            endpoint: index,
+            permits,
+        })
     }
 
-    fn active(&self) -> impl Iterator<Item = (usize, &PoolEndpoint)> {
+    fn active_endpoints(&self) -> impl Iterator<Item = (usize, &PoolEndpoint)> {
         let endpoints = self.endpoints().iter().enumerate();
         endpoints.filter(|(_, endpoint)| endpoint.state == EndpointState::Active)
     }
 
-    fn place(&mut self, now: Timestamp, request: Request) -> Placement {
-        let ask = self.ask(&request);
+    fn decide(&mut self, now: Timestamp, request: Request) -> Placement {
+        let route_request = self.route_request(&request);
         let ticket = request.ticket;
-        let largest = self.router.largest(now);
-        let fits = |request: &Request| largest.is_some_and(|largest| request.kv <= largest);
+        let max_kv = self.router.max_request_kv(now);
+        let fits = |request: &Request| max_kv.is_some_and(|max_kv| request.kv <= max_kv);
         match self.admission.offer(now, request, fits) {
-            Offer::Run => match self.start(now, ticket, ask) {
+            AdmissionDecision::Run => match self.start(now, ticket, route_request) {
                 Some(start) => Placement::Run(start),
-                None => unreachable!("an endpoint has room for what fits its free permits"),
+                None => unreachable!("a request that fits must start at some endpoint"),
             },
-            Offer::Wait => Placement::Wait,
-            Offer::Refuse(refusal) => Placement::Refuse(refusal),
+            AdmissionDecision::Wait => Placement::Wait,
+            AdmissionDecision::Refuse(refusal) => Placement::Refuse(refusal),
         }
     }
 
-    fn ask(&mut self, request: &Request) -> Ask {
-        Ask {
+    fn route_request(&mut self, request: &Request) -> RouteRequest {
+        RouteRequest {
             prefix: request.prefix,
             kv: request.kv,
-            draw: self.rng.u64(..),
+            random: self.rng.u64(..),
         }
     }
 
-    fn start(&mut self, now: Timestamp, ticket: Ticket, ask: Ask) -> Option<Start> {
-        let routed = self.router.choose(now, ask)?;
-        let started = self.router.start(now, routed.endpoint, &ask);
+    fn start(
+        &mut self,
+        now: Timestamp,
+        ticket: Ticket,
+        route_request: RouteRequest,
+    ) -> Option<Start> {
+        let route = self.router.choose(now, route_request)?;
+        let started = self.router.start(now, route.endpoint, &route_request);
         started.then_some(Start {
             ticket,
-            endpoint: routed.endpoint,
-            reason: routed.reason,
+            endpoint: route.endpoint,
+            reason: route.reason,
         })
     }
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Target {
+struct BorrowTarget {
     endpoint: usize,
     permits: Permits,
 }
--- a/crates/sesamecart-decisions/src/pool/tests.rs
+++ b/crates/sesamecart-decisions/src/pool/tests.rs
@@ -14,16 +14,16 @@
     Timestamp::from_millis(millis)
 }
 
-/// Books of an endpoint that has shown a sign of life.
-fn books() -> Borrowed {
+/// The permits of an endpoint that counts as alive.
+fn live_borrowed() -> Borrowed {
     let mut cfg = DecisionSettings::default();
     cfg.allowance.sign_ms = 60_000;
-    let mut books = Borrowed::new(Tokens(2_000), &cfg.allowance);
-    books.finish(at(0), Tokens(0));
-    books
+    let mut borrowed = Borrowed::new(Tokens(2_000), &cfg.allowance);
+    borrowed.finish(at(0), Tokens(0));
+    borrowed
 }
 
-/// A pool at a node that has been lent five permits at each of four endpoints.
+/// A pool at a node that holds five permits for each of four endpoints.
 fn pool() -> Pool {
     let place = NodePlace {
         node: "node-1".parse().unwrap(),
@@ -32,14 +32,14 @@
     };
     let endpoints = (0..ENDPOINTS).map(|index| {
         let id: EndpointId = format!("engine-{index}").parse().unwrap();
-        PoolEndpoint::new(id, "a".parse().unwrap(), books())
+        PoolEndpoint::new(id, "a".parse().unwrap(), live_borrowed())
     });
     let mut pool = Pool::new(&place, endpoints, DecisionSettings::default(), 1);
     lend(&mut pool, at(0));
     pool
 }
 
-/// Answers demands that are due at `now` as generous owners do.
+/// Answers the demands that are due at `now` with [`PERMITS`] for each endpoint.
 fn lend(pool: &mut Pool, now: Timestamp) {
     pool.demands(now);
     let slice = Slice {
@@ -71,7 +71,7 @@
     request(now, ticket, "large", RequestClass::Interactive)
 }
 
-/// What callers got out of a play.
+/// The decisions about the requests of one test.
 #[derive(Debug, Default)]
 struct Outcome {
     started: Vec<Ticket>,
@@ -79,7 +79,7 @@
 }
 
 impl Outcome {
-    fn note(&mut self, placement: Placement) -> Option<Start> {
+    fn record(&mut self, placement: Placement) -> Option<Start> {
         match placement {
             Placement::Run(start) => {
                 self.started.push(start.ticket);
@@ -92,66 +92,67 @@
     }
 
     fn started(&self, tickets: std::ops::Range<u64>) -> usize {
-        let inside = |ticket: &&Ticket| tickets.contains(&ticket.0);
-        self.started.iter().filter(inside).count()
+        let is_in_range = |ticket: &&Ticket| tickets.contains(&ticket.0);
+        self.started.iter().filter(is_in_range).count()
     }
 }
 
-/// Five times as many callers as endpoints bear come at one moment. As many as the endpoints bear
-/// start, the others wait, and when nothing comes free they are told so in time to go elsewhere.
+/// Five times as many requests as the pool has permits arrive at once. One request per permit
+/// starts, and the others wait. When no permit becomes free, they are refused early enough for the
+/// callers to try elsewhere.
 #[test]
-fn a_burst_waits_and_is_then_refused_in_time() {
+fn burst_waits_and_is_refused_before_its_deadline() {
     let mut pool = pool();
     let mut outcome = Outcome::default();
     for ticket in 0..100 {
-        outcome.note(pool.offer(at(10), interactive(at(10), ticket)));
+        outcome.record(pool.offer(at(10), interactive(at(10), ticket)));
     }
     assert_eq!(outcome.started.len(), 20);
     assert_eq!(pool.waiting(), 80);
     assert!(pool.poll(at(1_500)).is_empty());
     for placement in pool.poll(at(1_511)) {
-        outcome.note(placement);
+        outcome.record(placement);
     }
     assert_eq!(outcome.refused.len(), 80);
-    let fair = |refusal: &Refusal| refusal.retry_after >= Duration::from_secs(1);
-    assert!(outcome.refused.iter().all(fair));
+    let has_min_retry_after = |refusal: &Refusal| refusal.retry_after >= Duration::from_secs(1);
+    assert!(outcome.refused.iter().all(has_min_retry_after));
 }
 
-/// The pool is full and stays so, and a transfer comes. It goes before all the summaries that came
+/// An action that arrives at a saturated pool starts before all interactive requests that arrived
 /// earlier.
 #[test]
-fn an_action_starts_with_the_next_free_permit() {
+fn action_gets_the_next_free_permit() {
     let mut pool = pool();
     let mut outcome = Outcome::default();
     for ticket in 0..60 {
-        outcome.note(pool.offer(at(10), interactive(at(10), ticket)));
+        outcome.record(pool.offer(at(10), interactive(at(10), ticket)));
     }
-    outcome.note(pool.offer(at(20), request(at(20), 100, "small", RequestClass::Action)));
+    outcome.record(pool.offer(at(20), request(at(20), 100, "small", RequestClass::Action)));
     pool.finish(at(30), 0, Tokens(500), &Sample::default());
     for placement in pool.poll(at(30)) {
-        outcome.note(placement);
+        outcome.record(placement);
     }
     assert_eq!(outcome.started.last(), Some(&Ticket(100)));
 }
 
-/// Slices end because the owner can't be reached. Nothing new starts at the endpoint, callers wait,
-/// and their work starts with the owner's next answer.
+/// Slices expire because the owner is unreachable. No request starts at the endpoint and callers
+/// wait; their requests start after the owner's next answer.
 #[test]
-fn nothing_starts_without_a_valid_slice() {
+fn no_request_starts_without_a_valid_slice() {
     let mut pool = pool();
     let placement = pool.offer(at(1_000), interactive(at(1_000), 1));
     assert_eq!(placement, Placement::Wait);
     let asked = at(1_010);
     assert_eq!(pool.demands(asked).len(), ENDPOINTS);
-    assert_eq!(pool.demands(asked).len(), 0, "answers are awaited");
+    assert_eq!(pool.demands(asked).len(), 0, "demands are in flight");
     lend(&mut pool, asked);
     assert!(matches!(pool.poll(at(1_020))[..], [Placement::Run(_)]));
 }
 
-/// The pool bears twenty requests at once and a large customer always has more waiting. A small
-/// one asks for less than its fair share, and gets all of it.
+/// The pool runs twenty requests at once, and a large customer always has more waiting. A small
+/// customer that sends less than its fair share is served almost completely.
 #[test]
-fn a_small_customer_is_served_at_saturation() {
+fn small_customer_is_served_at_saturation() {
     let mut pool = pool();
     let mut outcome = Outcome::default();
     let mut running = std::collections::VecDeque::new();
@@ -177,7 +178,7 @@
         }
         placements.extend(pool.poll(now));
         for placement in placements {
-            let start = outcome.note(placement);
+            let start = outcome.record(placement);
             running.extend(start.map(|start| start.endpoint));
         }
     }
@@ -187,13 +188,13 @@
     assert!(outcome.refused.iter().filter(deadline).count() > 500);
 }
 
-/// An endpoint is restarted and all requests there fail. The node sends nothing more there until
-/// its owner has answered, and the callers' requests go to the others.
+/// An endpoint is restarted and all its requests fail. The node sends it no requests until its owner
+/// has answered again, and uses the other endpoints instead.
 #[test]
-fn a_restarted_endpoint_gets_nothing_until_its_owner_knows() {
+fn failed_endpoint_gets_no_requests_until_its_owner_answers() {
     let mut pool = pool();
     let mut outcome = Outcome::default();
-    let first = outcome.note(pool.offer(at(10), interactive(at(10), 0)));
+    let first = outcome.record(pool.offer(at(10), interactive(at(10), 0)));
     let failed = first.unwrap().endpoint;
     let attempt = FailedAttempt {
         progress: Progress::Sent,
@@ -204,7 +205,7 @@
     let decision = pool.fail(at(20), failed, Tokens(500), attempt);
     assert_eq!(decision, RetryDecision::Retry);
     for ticket in 1..30 {
-        let start = outcome.note(pool.offer(at(30), interactive(at(30), ticket)));
+        let start = outcome.record(pool.offer(at(30), interactive(at(30), ticket)));
         assert!(start.is_none_or(|start| start.endpoint != failed));
     }
     assert_eq!(outcome.started.len(), 1 + 15);
--- a/crates/sesamecart-decisions/src/retry.rs
+++ b/crates/sesamecart-decisions/src/retry.rs
@@ -1,11 +1,12 @@
-//! Whether a failed attempt may be sent again.
+//! Decides whether a failed attempt is retried.
 //!
-//! It answers the failure of a whole pool of endpoints. Without a budget every request of a failing
-//! pool is sent several times, so that the load rises just when less can be borne, and the pool
-//! can't come back. The budget is a share of the first attempts, kept per pool by the node that
-//! faces the caller; no other layer retries, since two layers of three attempts make nine.
+//! A retry budget limits the load when a whole pool of endpoints fails. Without it every request to
+//! the failing pool is sent several times, which raises the load while capacity is reduced and
+//! prevents the pool from recovering. The budget is a fraction of the first attempts. The node that
+//! accepted the caller's request keeps it per pool. No other layer retries, since two layers of
+//! three attempts each multiply to nine.
 //!
-//! There is no hedging: docs/policy.md says what would have to be measured first.
+//! Requests are not hedged; docs/policy.md lists what has to be measured first.
 
 use derive_more::Display;
 use sesamecart_vocabulary::Timestamp;
@@ -15,78 +16,78 @@
 #[cfg(test)]
 mod tests;
 
-/// How far an attempt had come when it failed.
+/// How far an attempt had progressed when it failed.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
 pub enum Progress {
-    /// No byte of the request left the node, or the endpoint said that it ran nothing.
+    /// No byte of the request left the node, or the endpoint reported that it did not run the request.
     #[display("not run")]
     NotRun,
-    /// The request may have run, and the caller has seen nothing of an answer.
+    /// The request may have run, and no part of a response has reached the caller.
     #[display("sent")]
     Sent,
-    /// A part of the answer has been passed on; only a resume at its offset may follow.
+    /// Part of the response has been forwarded. It can only be resumed at its offset, not retried.
     #[display("answering")]
     Answering,
 }
 
-/// A failed attempt, as the decision needs to know it.
+/// The properties of a failed attempt that determine whether it is retried.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct FailedAttempt {
-    /// How far it had come.
+    /// How far it had progressed.
     pub progress: Progress,
-    /// Whether running the request twice does no harm.
+    /// Whether the request is safe to run twice.
     pub idempotent: bool,
-    /// The number of attempts so far, this one included.
+    /// The number of attempts so far, including this one.
     pub attempts: u32,
     /// The latest start that still meets the deadline.
     pub start_by: Timestamp,
 }
 
-/// What happens after a failed attempt.
+/// The decision about a failed attempt.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
 pub enum RetryDecision {
-    /// Send it to another endpoint.
+    /// Retry at another endpoint.
     Retry,
-    /// It may have run, and must not run twice.
+    /// The request may have run and must not run twice.
     MayHaveRun,
-    /// It has had all the attempts that one request gets.
+    /// The request has used the maximum number of attempts.
     TooManyAttempts,
-    /// Too large a share of the traffic is retries already.
+    /// The pool's retry budget is exhausted.
     BudgetSpent,
-    /// An answer would come too late.
+    /// A retry could not meet the deadline.
     TooLate,
 }
 
-/// The retries that one pool's traffic has earned.
+/// The retry budget of one pool: each first attempt adds a fraction of a retry.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     cfg: RetrySettings,
-    saved: f64,
+    available: f64,
 }
 
 impl RetryBudget {
-    /// Makes a full budget, so that the first failures after a start can be retried.
+    /// Creates a full budget, so that the first failures after startup can be retried.
     #[must_use]
     pub const fn new(cfg: RetrySettings) -> Self {
         Self {
-            saved: cfg.max_saved,
+            available: cfg.max_saved,
             cfg,
         }
     }
 
-    /// Counts a first attempt, which earns a share of a retry.
-    pub fn first_attempt(&mut self) {
-        self.saved = (self.saved + self.cfg.budget).min(self.cfg.max_saved);
+    /// Records a first attempt, which adds a fraction of a retry to the budget.
+    pub fn record_first_attempt(&mut self) {
+        self.available = (self.available + self.cfg.budget).min(self.cfg.max_saved);
     }
 
-    /// Decides about a failed attempt and takes a retry out of the budget.
+    /// Decides whether to retry a failed attempt, and deducts a retry from the budget if so.
     pub fn decide(&mut self, now: Timestamp, attempt: FailedAttempt) -> RetryDecision {
-        let may_repeat = match attempt.progress {
+        let is_safe = match attempt.progress {
             Progress::NotRun => true,
             Progress::Sent => attempt.idempotent,
             Progress::Answering => false,
         };
-        if !may_repeat {
+        if !is_safe {
             return RetryDecision::MayHaveRun;
         }
         if attempt.attempts >= self.cfg.max_attempts {
@@ -95,10 +96,10 @@
         if now > attempt.start_by {
             return RetryDecision::TooLate;
         }
-        if self.saved < 1.0 {
+        if self.available < 1.0 {
             return RetryDecision::BudgetSpent;
         }
-        self.saved -= 1.0;
+        self.available -= 1.0;
         RetryDecision::Retry
     }
 }
--- a/crates/sesamecart-decisions/src/retry/tests.rs
+++ b/crates/sesamecart-decisions/src/retry/tests.rs
@@ -19,31 +19,31 @@
 }
 
 decides! {
-    idempotent_work_is_sent_again: SENT => Retry;
-    a_transfer_that_was_sent_is_not: FailedAttempt { idempotent: false, ..SENT } => MayHaveRun;
-    a_transfer_that_was_not_sent_is:
+    idempotent_request_is_retried: SENT => Retry;
+    sent_non_idempotent_request_is_not_retried: FailedAttempt { idempotent: false, ..SENT } => MayHaveRun;
+    unsent_non_idempotent_request_is_retried:
         FailedAttempt { idempotent: false, progress: Progress::NotRun, ..SENT } => Retry;
-    an_answer_that_began_is_not: FailedAttempt { progress: Progress::Answering, ..SENT } => MayHaveRun;
-    three_attempts_are_enough: FailedAttempt { attempts: 3, ..SENT } => TooManyAttempts;
-    late_work_is_not: FailedAttempt { start_by: Timestamp::from_millis(49), ..SENT } => TooLate;
+    started_response_is_not_retried: FailedAttempt { progress: Progress::Answering, ..SENT } => MayHaveRun;
+    attempts_are_limited: FailedAttempt { attempts: 3, ..SENT } => TooManyAttempts;
+    request_past_its_latest_start_is_not_retried: FailedAttempt { start_by: Timestamp::from_millis(49), ..SENT } => TooLate;
 }
 
-/// A whole pool fails, so every attempt does. Without a budget the endpoints would get three times
-/// the load while they try to come back, and callers would wait for nothing.
+/// Every attempt fails because the whole pool does. Without a budget the endpoints would get three
+/// times the load while they recover, and callers would wait for retries that can't succeed.
 #[test]
-fn a_failing_pool_gets_a_tenth_more_and_not_three_times_the_load() {
+fn retries_to_a_failing_pool_are_limited_by_the_budget() {
     let cfg = RetrySettings::default();
     let mut budget = RetryBudget::new(cfg);
     let mut retries = 0;
     for _ in 0..10_000 {
-        budget.first_attempt();
+        budget.record_first_attempt();
         let mut attempt = SENT;
         while budget.decide(Timestamp::ZERO, attempt) == RetryDecision::Retry {
             retries += 1;
             attempt.attempts += 1;
         }
     }
-    let most = 10_000.0 * cfg.budget + cfg.max_saved;
-    assert!(f64::from(retries) <= most, "{retries}");
-    assert!(f64::from(retries) >= 0.9 * most, "{retries}");
+    let max_retries = 10_000.0 * cfg.budget + cfg.max_saved;
+    assert!(f64::from(retries) <= max_retries, "{retries}");
+    assert!(f64::from(retries) >= 0.9 * max_retries, "{retries}");
 }
--- a/crates/sesamecart-decisions/src/routing.rs
+++ b/crates/sesamecart-decisions/src/routing.rs
@@ -1,20 +1,22 @@
-//! Where work goes: to which endpoint of a pool a node sends a request.
+//! Routing: the choice of an endpoint of a pool for each request.
 //!
-//! It answers a prefix that many share, a slow endpoint, a failure domain that leaves, fills up or
-//! returns, and a pool too large for each node to keep state of all of it:
+//! Routing handles a prefix that many requests share, a slow endpoint, a failure domain that leaves,
+//! fills up or returns, and a pool too large for each node to track all of its endpoints:
 //!
-//! - A node uses a bounded subset of the endpoints, chosen by rendezvous; without it state and
-//!   messages grow with nodes times endpoints.
-//! - A request goes where its prefix is cached, unless that endpoint is loaded well above the
-//!   mean; without the first the prompt is computed again everywhere, without the second one
-//!   endpoint gets all of a shared prefix. Cache events come late and with gaps, so they are hints.
-//! - Else the better of two random endpoints by remaining permits; choosing the best of all makes
-//!   every node choose the same one while reports are old.
-//! - The own failure domain first, spilling to others gradually as its permits run short.
-//! - An endpoint far slower than the median, or failing, is ejected for a while, but never more
-//!   than a share of the subset; without the bound a general slowness would eject all.
+//! - A node uses a bounded subset of the endpoints, selected by rendezvous hashing. Without it, state
+//!   and messages grow with the number of nodes times the number of endpoints.
+//! - A request goes to an endpoint that caches its prefix, unless that endpoint is loaded well above
+//!   the mean. Without the cache affinity, every endpoint computes the prompt again. Without the load
+//!   bound, one endpoint gets all requests with a shared prefix. Cache events are late and
+//!   incomplete, so they are only hints.
+//! - Otherwise it goes to the one with more free permits of two random endpoints. If nodes chose the
+//!   best of all endpoints, all of them would choose the same one while reports are stale.
+//! - The node's own failure domain is preferred. Requests spill to others gradually as its permits
+//!   run short.
+//! - An endpoint that fails or is far slower than the median is ejected for a while. The ejected share
+//!   of the subset is limited; without the limit, a general slowdown would eject every endpoint.
 //!
-//! docs/policy.md tells why the thresholds are what they are.
+//! docs/policy.md explains the thresholds.
 
 mod outlier;
 mod prefix;
@@ -22,7 +24,7 @@
 
 pub use outlier::Outliers;
 pub use prefix::{PrefixHash, PrefixHints};
-pub use router::{Ask, EndpointState, PoolEndpoint, RouteReason, Routed, Router};
+pub use router::{EndpointState, PoolEndpoint, Route, RouteReason, RouteRequest, Router};
 
 #[cfg(test)]
 mod tests;
--- a/crates/sesamecart-decisions/src/routing/outlier.rs
+++ b/crates/sesamecart-decisions/src/routing/outlier.rs
@@ -1,88 +1,92 @@
-//! Which endpoints are left out for a while because they are slow or fail.
+//! Outlier detection: temporary ejection of endpoints that are slow or fail.
 
 use sesamecart_vocabulary::Timestamp;
 
 use crate::settings::RoutingSettings;
 
-/// The weight of a new latency sample against the older ones.
-const NEW_SAMPLE: f64 = 0.2;
+/// The weight of a new sample in the moving average of the latency.
+const LATENCY_SAMPLE_WEIGHT: f64 = 0.2;
 
-/// The fewest samples by which an endpoint is judged slow.
+/// The minimum number of samples before an endpoint is checked for high latency.
 const MIN_SAMPLES: u32 = 5;
 
-/// The most ejections in a row by which the time of one grows.
-const MAX_STREAK: u32 = 6;
+/// The maximum number of consecutive ejections that extend the ejection time.
+const MAX_EJECTION_FACTOR: u32 = 6;
 
-/// What one node saw of its endpoints, and which of them it leaves out.
+/// Latencies and failures of a node's endpoints, and the endpoints that it has ejected.
 #[derive(Clone, Debug)]
 pub struct Outliers {
     cfg: RoutingSettings,
-    seen: Vec<Seen>,
+    endpoints: Vec<EndpointStats>,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Seen {
+struct EndpointStats {
     latency: f64,
     samples: u32,
     failures: u32,
-    streak: u32,
+    consecutive_ejections: u32,
     ejected_until: Timestamp,
 }
 
 impl Outliers {
-    /// Makes the record of `endpoints` endpoints.
+    /// Creates the outlier detection for `endpoints` endpoints.
     #[must_use]
     pub fn new(endpoints: usize, cfg: RoutingSettings) -> Self {
         Self {
             cfg,
-            seen: vec![Seen::default(); endpoints],
+            endpoints: vec![EndpointStats::default(); endpoints],
         }
     }
 
-    /// Returns whether an endpoint is left out now.
+    /// Returns whether an endpoint is ejected at this time.
     #[must_use]
     pub fn is_ejected(&self, now: Timestamp, endpoint: usize) -> bool {
-        now < self.seen[endpoint].ejected_until
+        now < self.endpoints[endpoint].ejected_until
     }
 
-    /// Notes a latency, in any unit that is the same for all endpoints of the pool.
-    pub fn succeeded(&mut self, now: Timestamp, endpoint: usize, latency: f64) {
-        let seen = &mut self.seen[endpoint];
-        seen.failures = 0;
-        seen.samples = seen.samples.saturating_add(1);
-        if seen.samples == 1 {
-            seen.latency = latency;
+    /// Records the latency of a successful request, in any unit that is the same for all endpoints of
+    /// the pool.
+    pub fn record_success(&mut self, now: Timestamp, endpoint: usize, latency: f64) {
+        let stats = &mut self.endpoints[endpoint];
+        stats.failures = 0;
+        stats.samples = stats.samples.saturating_add(1);
+        if stats.samples == 1 {
+            stats.latency = latency;
         } else {
-            seen.latency += NEW_SAMPLE * (latency - seen.latency);
+            stats.latency += LATENCY_SAMPLE_WEIGHT * (latency - stats.latency);
         }
-        if seen.samples < MIN_SAMPLES {
+        if stats.samples < MIN_SAMPLES {
             return;
         }
-        let slow = seen.latency;
-        if slow > self.cfg.eject_latency * self.median() {
+        let average = stats.latency;
+        if average > self.cfg.eject_latency * self.median() {
             self.eject(now, endpoint);
         } else {
-            self.seen[endpoint].streak = 0;
+            self.endpoints[endpoint].consecutive_ejections = 0;
         }
     }
 
-    /// Notes a failed request.
-    pub fn failed(&mut self, now: Timestamp, endpoint: usize) {
-        let seen = &mut self.seen[endpoint];
-        seen.failures += 1;
-        if seen.failures >= self.cfg.eject_failures {
+    /// Records a failed request.
+    pub fn record_failure(&mut self, now: Timestamp, endpoint: usize) {
+        let stats = &mut self.endpoints[endpoint];
+        stats.failures += 1;
+        if stats.failures >= self.cfg.eject_failures {
             self.eject(now, endpoint);
         }
     }
 
-    /// Forgets what was seen of an endpoint that has started anew.
-    pub fn forget(&mut self, endpoint: usize) {
-        self.seen[endpoint] = Seen::default();
+    /// Resets the state of an endpoint that has restarted.
+    pub fn reset(&mut self, endpoint: usize) {
+        self.endpoints[endpoint] = EndpointStats::default();
     }
 
     fn median(&self) -> f64 {
-        let judged = self.seen.iter().filter(|seen| seen.samples >= MIN_SAMPLES);
-        let mut latencies: Vec<f64> = judged.map(|seen| seen.latency).collect();
+        let sampled = self
+            .endpoints
+            .iter()
+            .filter(|stats| stats.samples >= MIN_SAMPLES);
+        let mut latencies: Vec<f64> = sampled.map(|stats| stats.latency).collect();
         let middle = latencies.len() / 2;
         if latencies.is_empty() {
             return f64::INFINITY;
@@ -94,15 +98,18 @@
         if self.is_ejected(now, endpoint) {
             return;
         }
-        let others = self.seen.iter().filter(|seen| now < seen.ejected_until);
-        let allowed = (self.cfg.max_ejected * self.seen.len() as f64) as usize;
-        if others.count() >= allowed {
+        let ejected = self
+            .endpoints
+            .iter()
+            .filter(|stats| now < stats.ejected_until);
+        let max_ejected = (self.cfg.max_ejected * self.endpoints.len() as f64) as usize;
+        if ejected.count() >= max_ejected {
             return;
         }
-        let seen = &mut self.seen[endpoint];
-        seen.streak = (seen.streak + 1).min(MAX_STREAK);
-        seen.ejected_until = now + self.cfg.eject() * seen.streak;
-        seen.samples = 0;
-        seen.failures = 0;
+        let stats = &mut self.endpoints[endpoint];
+        stats.consecutive_ejections = (stats.consecutive_ejections + 1).min(MAX_EJECTION_FACTOR);
+        stats.ejected_until = now + self.cfg.eject() * stats.consecutive_ejections;
+        stats.samples = 0;
+        stats.failures = 0;
     }
 }
--- a/crates/sesamecart-decisions/src/routing/prefix.rs
+++ b/crates/sesamecart-decisions/src/routing/prefix.rs
@@ -1,33 +1,34 @@
-//! Which endpoints are believed to hold a prefix in their cache.
+//! Hints about which endpoints cache a prefix.
 
 use indexmap::IndexMap;
 
-/// The hash of the part of a prompt that requests share.
+/// The hash of the part of a prompt that several requests share.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct PrefixHash(pub u64);
 
-/// The most endpoints that are remembered for one prefix; more would spread a prefix over the pool
-/// until no cache holds it for long.
+/// The maximum number of endpoints tracked per prefix. With more, a prefix would spread over the pool
+/// until every cache evicts it early.
 const MAX_HOLDERS: usize = 4;
 
-/// Hints about which endpoint caches which prefix, bounded in number.
+/// A bounded table of hints about which endpoints cache which prefix.
 ///
-/// They come from cache events, which are late and have gaps, and from the node's own choices. A
-/// wrong hint costs one prompt's computation and nothing else.
+/// The hints come from cache events, which are late and incomplete, and from the node's own routing.
+/// A wrong hint only costs the computation of one prompt.
 #[derive(Clone, Debug)]
 pub struct PrefixHints {
-    max: usize,
+    max_prefixes: usize,
     holders: IndexMap<PrefixHash, Vec<usize>>,
-    /// Where the next entry to be replaced is looked for, once the table is full.
-    hand: usize,
+    /// The index of the last replaced entry. While the table is full, each insertion replaces the
+    /// entry after it.
+    replace_cursor: usize,
 }
 
 impl PrefixHints {
-    pub(super) fn new(max: usize) -> Self {
+    pub(super) fn new(max_prefixes: usize) -> Self {
         Self {
-            max: max.max(1),
+            max_prefixes: max_prefixes.max(1),
             holders: IndexMap::new(),
-            hand: 0,
+            replace_cursor: 0,
         }
     }
 
@@ -35,9 +36,9 @@
         self.holders.get(&prefix).map_or(&[], Vec::as_slice)
     }
 
-    pub(super) fn stored(&mut self, prefix: PrefixHash, endpoint: usize) {
+    pub(super) fn insert(&mut self, prefix: PrefixHash, endpoint: usize) {
         if !self.holders.contains_key(&prefix) {
-            self.make_room();
+            self.replace_if_full();
         }
         let holders = self.holders.entry(prefix).or_default();
         if holders.contains(&endpoint) {
@@ -49,7 +50,7 @@
         holders.push(endpoint);
     }
 
-    pub(super) fn evicted(&mut self, prefix: PrefixHash, endpoint: usize) {
+    pub(super) fn remove(&mut self, prefix: PrefixHash, endpoint: usize) {
         let Some(holders) = self.holders.get_mut(&prefix) else {
             return;
         };
@@ -59,18 +60,18 @@
         }
     }
 
-    pub(super) fn forget_endpoint(&mut self, endpoint: usize) {
+    pub(super) fn remove_endpoint(&mut self, endpoint: usize) {
         self.holders.retain(|_, holders| {
             holders.retain(|holder| *holder != endpoint);
             !holders.is_empty()
         });
     }
 
-    fn make_room(&mut self) {
-        if self.holders.len() < self.max {
+    fn replace_if_full(&mut self) {
+        if self.holders.len() < self.max_prefixes {
             return;
         }
-        self.hand = (self.hand + 1) % self.holders.len();
-        self.holders.swap_remove_index(self.hand);
+        self.replace_cursor = (self.replace_cursor + 1) % self.holders.len();
+        self.holders.swap_remove_index(self.replace_cursor);
     }
 }
--- a/crates/sesamecart-decisions/src/routing/router.rs
+++ b/crates/sesamecart-decisions/src/routing/router.rs
@@ -1,4 +1,4 @@
-//! The choice of an endpoint for one request.
+//! Chooses an endpoint for a request.
 
 use sesamecart_vocabulary::{EndpointId, FailureDomainId, NodeId, Timestamp, Tokens, stable_hash};
 
@@ -7,32 +7,32 @@
 use crate::allowance::Borrowed;
 use crate::settings::RoutingSettings;
 
-/// Whether an endpoint gets new work.
+/// Whether an endpoint receives new requests.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum EndpointState {
-    /// It does.
+    /// The endpoint receives new requests.
     Active,
-    /// It is drained, is leaving, or isn't routable: what runs may finish.
+    /// The endpoint is drained, leaving or not routable. Running requests may finish.
     Draining,
 }
 
-/// One endpoint as a node's router knows it.
+/// The state of one endpoint in a node's router.
 #[derive(Clone, Debug)]
 pub struct PoolEndpoint {
-    /// Its name.
+    /// The endpoint's id.
     pub id: EndpointId,
-    /// The failure domain that it lies in.
+    /// The endpoint's failure domain.
     pub domain: FailureDomainId,
-    /// Whether it gets new work.
+    /// Whether the endpoint receives new requests.
     pub state: EndpointState,
-    /// The slice that the node holds.
+    /// The permits that the node has borrowed for the endpoint.
     pub borrowed: Borrowed,
     is_local: bool,
     hash: u64,
 }
 
 impl PoolEndpoint {
-    /// Makes an active endpoint with the books of its slices.
+    /// Creates an active endpoint with its borrowed permits.
     #[must_use]
     pub fn new(id: EndpointId, domain: FailureDomainId, borrowed: Borrowed) -> Self {
         Self {
@@ -46,34 +46,34 @@
     }
 }
 
-/// What the router needs to know of a request.
+/// The properties of a request that routing depends on.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask {
-    /// The shared part of its prompt.
+pub struct RouteRequest {
+    /// The hash of the shared part of its prompt.
     pub prefix: Option<PrefixHash>,
-    /// The KV memory that it takes.
+    /// The KV memory that the request needs.
     pub kv: Tokens,
-    /// A random number that the caller draws.
-    pub draw: u64,
+    /// A random number, supplied by the caller.
+    pub random: u64,
 }
 
 /// Why an endpoint was chosen.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RouteReason {
-    /// It is believed to cache the prefix.
+    /// According to the hints, it caches the prefix.
     CachedPrefix,
-    /// It is the one at which requests with this prefix meet.
+    /// It is the endpoint that the prefix hashes to.
     PrefixHome,
-    /// It has more permits left than another one.
+    /// It has more free permits than another randomly chosen endpoint.
     MorePermits,
 }
 
 /// A chosen endpoint.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Routed {
-    /// Its place among [`Router::endpoints`].
+pub struct Route {
+    /// The index in [`Router::endpoints`].
     pub endpoint: usize,
-    /// Why it was chosen.
+    /// Why the endpoint was chosen.
     pub reason: RouteReason,
 }
 
@@ -86,21 +86,21 @@
     hints: PrefixHints,
 }
 
-/// What a choice reads of the endpoints: gathered once a request.
+/// The load of the pool, collected once per request.
 #[derive(Clone, Copy, Debug, Default)]
-struct Room {
-    open: usize,
+struct PoolLoad {
+    available: usize,
     in_flight: u64,
-    local_lent: u64,
-    local_free: u64,
+    local_permits: u64,
+    local_free_permits: u64,
 }
 
 impl Router {
-    /// Makes a router over the subset of `endpoints` that `node` uses when `nodes` share them.
+    /// Creates a router over the subset of `endpoints` that `node` uses when `nodes` share them.
     ///
-    /// A node uses the endpoints that come first for it in rendezvous order, and those for which it
-    /// comes first among the nodes; without the latter some endpoints of a large pool would be used
-    /// by nobody.
+    /// A node uses the endpoints that rank highest for it by rendezvous weight, and those for which
+    /// it ranks highest among the nodes. Without the latter, no node would use some endpoints of a
+    /// large pool.
     #[must_use]
     pub fn new(
         node: &NodeId,
@@ -123,10 +123,10 @@
                 .any(|other| weight < self::weight(endpoint.hash, *other))
         };
         endpoints.sort_by_key(|endpoint| std::cmp::Reverse(weight(endpoint.hash, own)));
-        let mut place = 0;
+        let mut rank = 0;
         endpoints.retain(|endpoint| {
-            place += 1;
-            place <= size || is_first(endpoint)
+            rank += 1;
+            rank <= size || is_first(endpoint)
         });
         for endpoint in &mut endpoints {
             endpoint.is_local = endpoint.domain == *domain;
@@ -145,175 +145,192 @@
         &self.endpoints
     }
 
-    /// Returns the endpoints, to give them slices and states.
+    /// Returns the endpoints, to update their slices and states.
     pub fn endpoints_mut(&mut self) -> &mut [PoolEndpoint] {
         &mut self.endpoints
     }
 
-    /// Returns the record of slow and failing endpoints.
+    /// Returns the outlier detection, to record latencies and failures.
     pub const fn outliers_mut(&mut self) -> &mut Outliers {
         &mut self.outliers
     }
 
-    /// Returns the largest request, by KV memory, that some endpoint can take now.
+    /// Returns the KV memory of the largest request that an endpoint can start now.
     #[must_use]
-    pub fn largest(&self, now: Timestamp) -> Option<Tokens> {
-        let open = (0..self.endpoints.len()).filter(|index| self.is_open(now, *index, Tokens(0)));
-        open.filter_map(|index| self.endpoints[index].borrowed.largest(now))
+    pub fn max_request_kv(&self, now: Timestamp) -> Option<Tokens> {
+        let available =
+            (0..self.endpoints.len()).filter(|index| self.is_available(now, *index, Tokens(0)));
+        available
+            .filter_map(|index| self.endpoints[index].borrowed.max_request_kv(now))
             .max()
     }
 
-    /// Chooses an endpoint that has room, or none.
+    /// Chooses an available endpoint that the request fits, if there is one.
     #[must_use]
-    pub fn choose(&self, now: Timestamp, ask: Ask) -> Option<Routed> {
-        let room = self.room(now, ask.kv);
-        if room.open == 0 {
+    pub fn choose(&self, now: Timestamp, request: RouteRequest) -> Option<Route> {
+        let load = self.pool_load(now, request.kv);
+        if load.available == 0 {
             return None;
         }
-        let by_prefix = ask
+        let by_prefix = request
             .prefix
-            .and_then(|prefix| self.by_prefix(now, &ask, prefix, &room));
-        by_prefix.or_else(|| self.by_permits(now, &ask, &room))
+            .and_then(|prefix| self.choose_by_prefix(now, &request, prefix, &load));
+        by_prefix.or_else(|| self.choose_by_permits(now, &request, &load))
     }
 
-    /// Starts a request at a chosen endpoint; false if it has no room any more.
-    pub fn start(&mut self, now: Timestamp, endpoint: usize, ask: &Ask) -> bool {
-        let started = self.endpoints[endpoint].borrowed.start(now, ask.kv);
-        if let (true, Some(prefix)) = (started, ask.prefix) {
-            self.hints.stored(prefix, endpoint);
+    /// Starts a request at the chosen endpoint; returns false if the request no longer fits there.
+    pub fn start(&mut self, now: Timestamp, endpoint: usize, request: &RouteRequest) -> bool {
+        let started = self.endpoints[endpoint].borrowed.start(now, request.kv);
+        if let (true, Some(prefix)) = (started, request.prefix) {
+            self.hints.insert(prefix, endpoint);
         }
         started
     }
 
-    /// Takes the news that an endpoint caches a prefix.
+    /// Records that an endpoint caches a prefix.
     pub fn cached(&mut self, prefix: PrefixHash, endpoint: usize) {
-        self.hints.stored(prefix, endpoint);
+        self.hints.insert(prefix, endpoint);
     }
 
-    /// Takes the news that an endpoint doesn't cache a prefix any more.
+    /// Records that an endpoint no longer caches a prefix.
     pub fn evicted(&mut self, prefix: PrefixHash, endpoint: usize) {
-        self.hints.evicted(prefix, endpoint);
+        self.hints.remove(prefix, endpoint);
     }
 
-    /// Forgets what was known of an endpoint that has started anew.
-    pub fn restarted(&mut self, endpoint: usize) {
-        self.hints.forget_endpoint(endpoint);
-        self.outliers.forget(endpoint);
+    /// Discards the hints and outlier statistics of an endpoint that has restarted.
+    pub fn endpoint_restarted(&mut self, endpoint: usize) {
+        self.hints.remove_endpoint(endpoint);
+        self.outliers.reset(endpoint);
     }
 
-    fn is_open(&self, now: Timestamp, index: usize, kv: Tokens) -> bool {
+    fn is_available(&self, now: Timestamp, index: usize, kv: Tokens) -> bool {
         let endpoint = &self.endpoints[index];
         endpoint.state == EndpointState::Active
             && endpoint.borrowed.fits(now, kv)
             && !self.outliers.is_ejected(now, index)
     }
 
-    fn room(&self, now: Timestamp, kv: Tokens) -> Room {
-        let mut room = Room::default();
+    fn pool_load(&self, now: Timestamp, kv: Tokens) -> PoolLoad {
+        let mut load = PoolLoad::default();
         for (index, endpoint) in self.endpoints.iter().enumerate() {
-            if !self.is_open(now, index, kv) {
+            if !self.is_available(now, index, kv) {
                 if endpoint.is_local && endpoint.state == EndpointState::Active {
-                    room.local_lent += u64::from(endpoint.borrowed.lent(now).0);
+                    load.local_permits += u64::from(endpoint.borrowed.valid_permits(now).0);
                 }
                 continue;
             }
-            room.open += 1;
-            room.in_flight += u64::from(endpoint.borrowed.in_flight().0);
+            load.available += 1;
+            load.in_flight += u64::from(endpoint.borrowed.in_flight().0);
             if endpoint.is_local {
-                room.local_lent += u64::from(endpoint.borrowed.lent(now).0);
-                room.local_free += u64::from(endpoint.borrowed.free(now).0);
+                load.local_permits += u64::from(endpoint.borrowed.valid_permits(now).0);
+                load.local_free_permits += u64::from(endpoint.borrowed.free(now).0);
             }
         }
-        room
+        load
     }
 
-    /// Chooses the least loaded endpoint that is believed to cache the prefix, or else the one at
-    /// which all nodes with the same subset let this prefix meet, unless they are loaded too far
-    /// above the mean.
-    fn by_prefix(
+    /// Chooses the least loaded endpoint with a hint for the prefix, or else the endpoint that the
+    /// prefix hashes to, which is the same for all nodes with the same subset. Endpoints that are
+    /// loaded too far above the mean are excluded.
+    fn choose_by_prefix(
         &self,
         now: Timestamp,
-        ask: &Ask,
+        request: &RouteRequest,
         prefix: PrefixHash,
-        room: &Room,
-    ) -> Option<Routed> {
-        let mean = room.in_flight as f64 / room.open as f64;
+        load: &PoolLoad,
+    ) -> Option<Route> {
+        let mean = load.in_flight as f64 / load.available as f64;
         let bound = self.cfg.affinity_bound * mean + 1.0;
         let may_take = |index: usize| {
             let in_flight = f64::from(self.endpoints[index].borrowed.in_flight().0);
-            in_flight <= bound && self.is_open(now, index, ask.kv)
+            in_flight <= bound && self.is_available(now, index, request.kv)
         };
         let holders = self.hints.holders(prefix).iter().copied();
         let cached = holders
             .filter(|index| may_take(*index))
             .min_by_key(|index| self.endpoints[*index].borrowed.in_flight());
         if let Some(endpoint) = cached {
-            return Some(Routed {
+            return Some(Route {
                 endpoint,
                 reason: RouteReason::CachedPrefix,
             });
         }
-        let home = self.home(prefix)?;
-        may_take(home).then_some(Routed {
+        let home = self.prefix_home(prefix)?;
+        may_take(home).then_some(Route {
             endpoint: home,
             reason: RouteReason::PrefixHome,
         })
     }
 
-    fn home(&self, prefix: PrefixHash) -> Option<usize> {
+    fn prefix_home(&self, prefix: PrefixHash) -> Option<usize> {
         let active = self.endpoints.iter().enumerate();
         let active = active.filter(|(_, endpoint)| endpoint.state == EndpointState::Active);
-        let home = active.max_by_key(|(_, endpoint)| spread(endpoint.hash ^ spread(prefix.0)));
+        let home = active.max_by_key(|(_, endpoint)| mix64(endpoint.hash ^ mix64(prefix.0)));
         home.map(|(index, _)| index)
     }
 
-    /// Chooses the one with more free permits of two random endpoints, in the own failure domain
-    /// unless its permits run short.
-    fn by_permits(&self, now: Timestamp, ask: &Ask, room: &Room) -> Option<Routed> {
-        let local = self.stays_local(ask.draw, room);
-        let first = self.draw(now, ask, local, ask.draw);
-        let second = self.draw(now, ask, local, spread(ask.draw));
+    /// Chooses the one with more free permits of two random endpoints. Both are in the node's own
+    /// failure domain unless the permits there run short.
+    fn choose_by_permits(
+        &self,
+        now: Timestamp,
+        request: &RouteRequest,
+        load: &PoolLoad,
+    ) -> Option<Route> {
+        let local = self.stays_local(request.random, load);
+        let first = self.random_endpoint(now, request, local, request.random);
+        let second = self.random_endpoint(now, request, local, mix64(request.random));
         let free = |index: usize| self.endpoints[index].borrowed.free(now);
         let better = match (first, second) {
             (Some(a), Some(b)) if free(b) > free(a) => b,
             (Some(a), _) => a,
-            (None, _) => self.draw(now, ask, false, ask.draw)?,
+            (None, _) => self.random_endpoint(now, request, false, request.random)?,
         };
-        Some(Routed {
+        Some(Route {
             endpoint: better,
             reason: RouteReason::MorePermits,
         })
     }
 
-    /// Spills gradually: the fewer permits the own failure domain has left, the more requests go
-    /// to others. A sharp threshold would swing all nodes' traffic to and fro.
-    fn stays_local(&self, draw: u64, room: &Room) -> bool {
-        if room.local_free == 0 {
+    /// Returns whether a request stays in the node's own failure domain.
+    ///
+    /// Requests spill gradually: the fewer free permits the own failure domain has, the more requests
+    /// go to others. With a sharp threshold, the traffic of all nodes would oscillate between failure
+    /// domains.
+    fn stays_local(&self, random: u64, load: &PoolLoad) -> bool {
+        if load.local_free_permits == 0 {
             return false;
         }
-        let share = room.local_free as f64 / room.local_lent as f64;
-        let stay = (share / self.cfg.spill_below).min(1.0);
-        ((spread(draw ^ 1) >> 11) as f64 / (1_u64 << 53) as f64) < stay
+        let share = load.local_free_permits as f64 / load.local_permits as f64;
+        let stay_probability = (share / self.cfg.spill_below).min(1.0);
+        ((mix64(random ^ 1) >> 11) as f64 / (1_u64 << 53) as f64) < stay_probability
     }
 
-    /// Returns a random endpoint that has room: the first from a random place on.
-    fn draw(&self, now: Timestamp, ask: &Ask, local: bool, draw: u64) -> Option<usize> {
+    /// Returns the first available endpoint, starting from a random index.
+    fn random_endpoint(
+        &self,
+        now: Timestamp,
+        request: &RouteRequest,
+        local_only: bool,
+        random: u64,
+    ) -> Option<usize> {
         let count = self.endpoints.len();
-        let from = usize::try_from(draw % count as u64).ok()?;
+        let start = usize::try_from(random % count as u64).ok()?;
         (0..count)
-            .map(|step| (from + step) % count)
-            .filter(|index| !local || self.endpoints[*index].is_local)
-            .find(|index| self.is_open(now, *index, ask.kv))
+            .map(|step| (start + step) % count)
+            .filter(|index| !local_only || self.endpoints[*index].is_local)
+            .find(|index| self.is_available(now, *index, request.kv))
     }
 }
 
 /// Returns the rendezvous weight of an endpoint for a node, by their hashes.
 const fn weight(endpoint: u64, node: u64) -> u64 {
-    spread(endpoint ^ node.rotate_left(31))
+    mix64(endpoint ^ node.rotate_left(31))
 }
 
-/// Spreads nearby values over all 64 bits (the finalizer of splitmix64).
-const fn spread(value: u64) -> u64 {
+/// Mixes the bits of a value, so that nearby values spread over all 64 bits (the finalizer of
+/// splitmix64).
+const fn mix64(value: u64) -> u64 {
     let value = value.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let value = (value ^ (value >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/sesamecart-decisions/src/routing/tests.rs
+++ b/crates/sesamecart-decisions/src/routing/tests.rs
@@ -20,16 +20,16 @@
 fn endpoints(count: usize) -> impl Iterator<Item = PoolEndpoint> {
     (0..count).map(|index| {
         let id: EndpointId = format!("engine-{index}").parse().unwrap();
-        PoolEndpoint::new(id, domain(index), books())
+        PoolEndpoint::new(id, domain(index), live_borrowed())
     })
 }
 
-/// Books of an endpoint that has shown a sign of life.
-fn books() -> Borrowed {
+/// The permits of an endpoint that counts as alive.
+fn live_borrowed() -> Borrowed {
     let cfg = AllowanceSettings::default();
-    let mut books = Borrowed::new(Tokens(2_000), &cfg);
-    books.finish(NOW, Tokens(0));
-    books
+    let mut borrowed = Borrowed::new(Tokens(2_000), &cfg);
+    borrowed.finish(NOW, Tokens(0));
+    borrowed
 }
 
 fn lend(router: &mut Router, permits: u32) {
@@ -39,11 +39,11 @@
     };
     for endpoint in router.endpoints_mut() {
         endpoint.borrowed.demand(Timestamp::ZERO, Permits(0));
-        endpoint.borrowed.take(Timestamp::ZERO, slice);
+        endpoint.borrowed.apply_slice(Timestamp::ZERO, slice);
     }
 }
 
-/// A router in domain `a` over twelve endpoints with `permits` permits each.
+/// A router in failure domain `a` over twelve endpoints with `permits` permits each.
 fn router(permits: u32) -> Router {
     let cfg = RoutingSettings::default();
     let mut router = Router::new(&node(0), &domain(0), endpoints(12), &[node(0)], cfg);
@@ -51,154 +51,153 @@
     router
 }
 
-fn ask(draw: u64) -> Ask {
-    Ask {
+fn request(random: u64) -> RouteRequest {
+    RouteRequest {
         prefix: None,
         kv: Tokens(500),
-        draw,
+        random,
     }
 }
 
-fn prefixed(draw: u64) -> Ask {
-    Ask {
+fn request_with_prefix(random: u64) -> RouteRequest {
+    RouteRequest {
         prefix: Some(PrefixHash(7)),
-        ..ask(draw)
+        ..request(random)
     }
 }
 
-/// Sends `count` requests that stay in flight, and returns where they went.
-fn send(router: &mut Router, count: u64, ask: impl Fn(u64) -> Ask) -> Vec<usize> {
+/// Starts up to `count` requests that stay in flight, and returns the chosen endpoints.
+fn send(router: &mut Router, count: u64, make_request: impl Fn(u64) -> RouteRequest) -> Vec<usize> {
     let mut rng = fastrand::Rng::with_seed(1);
     let mut chosen = Vec::new();
     for _ in 0..count {
-        let ask = ask(rng.u64(..));
-        let Some(routed) = router.choose(NOW, ask) else {
+        let request = make_request(rng.u64(..));
+        let Some(route) = router.choose(NOW, request) else {
             break;
         };
-        assert!(router.start(NOW, routed.endpoint, &ask));
-        chosen.push(routed.endpoint);
+        assert!(router.start(NOW, route.endpoint, &request));
+        chosen.push(route.endpoint);
     }
     chosen
 }
 
 fn in_domain(router: &Router, chosen: &[usize], index: usize) -> usize {
-    let inside = |endpoint: &&usize| router.endpoints()[**endpoint].domain == domain(index);
-    chosen.iter().filter(inside).count()
+    let is_in_domain = |endpoint: &&usize| router.endpoints()[**endpoint].domain == domain(index);
+    chosen.iter().filter(is_in_domain).count()
 }
 
-/// Each of 380 nodes uses a few more than 8 of 660 endpoints, and together they use all of them about evenly, so
-/// that no endpoint stands idle while callers wait.
+/// Each of 380 nodes uses a few more than 8 of 660 endpoints. Together they use all endpoints about
+/// evenly, so that no endpoint is idle while requests wait.
 #[test]
 fn subsets_cover_the_pool() {
     let cfg = RoutingSettings::default();
     let nodes: Vec<NodeId> = (0..380).map(node).collect();
-    let mut used = vec![0; 660];
+    let mut uses = vec![0; 660];
     for index in 0..380 {
         let router = Router::new(&nodes[index], &domain(index), endpoints(660), &nodes, cfg);
         assert!((8..=24).contains(&router.endpoints().len()));
         for endpoint in router.endpoints() {
             let number = endpoint.id.as_str().strip_prefix("engine-").unwrap();
-            used[number.parse::<usize>().unwrap()] += 1;
+            uses[number.parse::<usize>().unwrap()] += 1;
         }
     }
     assert!(
-        used.iter().all(|count| (1..=24).contains(count)),
-        "{used:?}"
+        uses.iter().all(|count| (1..=24).contains(count)),
+        "{uses:?}"
     );
 }
 
 #[test]
-fn the_own_failure_domain_comes_first() {
+fn own_failure_domain_is_preferred() {
     let mut router = router(10);
-    let chosen = send(&mut router, 20, ask);
+    let chosen = send(&mut router, 20, request);
     assert_eq!(in_domain(&router, &chosen, 0), 20);
 }
 
-/// The own failure domain fills up. Work moves to others little by little, while it still has room,
-/// and not all at once.
+/// When the own failure domain fills up, requests move to others gradually while it still has free
+/// permits, not all at once.
 #[test]
-fn a_full_failure_domain_spills_gradually() {
+fn full_failure_domain_spills_gradually() {
     let mut router = router(10);
-    let chosen = send(&mut router, 42, ask);
+    let chosen = send(&mut router, 42, request);
     let local = in_domain(&router, &chosen, 0);
     assert!((32..40).contains(&local), "{local}");
 }
 
-/// A failure domain is drained. Its endpoints get nothing new from that moment, and callers are
-/// served by the others.
+/// The endpoints of a drained failure domain get no new requests; the other endpoints get them all.
 #[test]
-fn a_drained_failure_domain_gets_nothing() {
+fn drained_failure_domain_gets_no_requests() {
     let mut router = router(10);
     for endpoint in router.endpoints_mut() {
         if endpoint.domain == domain(0) {
             endpoint.state = EndpointState::Draining;
         }
     }
-    let chosen = send(&mut router, 60, ask);
+    let chosen = send(&mut router, 60, request);
     assert_eq!(chosen.len(), 60);
     assert_eq!(in_domain(&router, &chosen, 0), 0);
 }
 
 #[test]
-fn no_room_anywhere_is_said() {
+fn no_endpoint_is_chosen_without_free_permits() {
     let mut router = router(2);
-    assert_eq!(send(&mut router, 100, ask).len(), 24);
-    assert_eq!(router.choose(NOW, ask(1)), None);
+    assert_eq!(send(&mut router, 100, request).len(), 24);
+    assert_eq!(router.choose(NOW, request(1)), None);
 }
 
 #[test]
-fn a_prefix_has_one_home() {
+fn requests_with_the_same_prefix_go_to_one_endpoint() {
     let mut router = router(10);
-    let chosen = send(&mut router, 2, prefixed);
+    let chosen = send(&mut router, 2, request_with_prefix);
     assert_eq!(chosen[0], chosen[1]);
 }
 
-/// All callers share one prefix. Its endpoint takes a little more than its part and others take
-/// the rest, so that nobody waits for one endpoint while others stand idle.
+/// When all requests share one prefix, its endpoint takes slightly more than an equal share and other
+/// endpoints take the rest, so that no request waits for one endpoint while others are idle.
 #[test]
-fn a_hot_prefix_does_not_overload_its_endpoint() {
+fn hot_prefix_does_not_overload_its_endpoint() {
     let cfg = RoutingSettings::default();
     let elsewhere = "elsewhere".parse().unwrap();
     let mut router = Router::new(&node(0), &elsewhere, endpoints(12), &[node(0)], cfg);
     lend(&mut router, 10);
-    let chosen = send(&mut router, 60, prefixed);
-    let most = (0..12)
+    let chosen = send(&mut router, 60, request_with_prefix);
+    let max_per_endpoint = (0..12)
         .map(|e| chosen.iter().filter(|c| **c == e).count())
         .max();
-    assert!(most <= Some(9), "{most:?}");
+    assert!(max_per_endpoint <= Some(9), "{max_per_endpoint:?}");
     let endpoints: IndexSet<_> = chosen.iter().collect();
     assert!(endpoints.len() >= 6, "{endpoints:?}");
 }
 
-/// A cache event says that an endpoint has dropped the prefix, or was missed. Either way a request
-/// is sent somewhere, and only the time to compute the prompt is lost.
+/// Cache events may be late or missing. A request is routed with or without a hint; a wrong hint only
+/// costs the time to compute the prompt.
 #[test]
-fn hints_may_be_wrong() {
+fn request_is_routed_with_and_without_a_hint() {
     let mut router = router(10);
     router.cached(PrefixHash(7), 3);
-    let hinted = router.choose(NOW, prefixed(1)).unwrap();
+    let hinted = router.choose(NOW, request_with_prefix(1)).unwrap();
     assert_eq!(
         hinted,
-        Routed {
+        Route {
             endpoint: 3,
             reason: RouteReason::CachedPrefix
         }
     );
     router.evicted(PrefixHash(7), 3);
-    let unhinted = router.choose(NOW, prefixed(1)).unwrap();
+    let unhinted = router.choose(NOW, request_with_prefix(1)).unwrap();
     assert_eq!(unhinted.reason, RouteReason::PrefixHome);
 }
 
-/// One endpoint answers at a tenth of the others' speed. It is left out before its callers have
-/// waited for long, and tried again later.
+/// An endpoint with ten times the latency of the others is ejected after a few requests, and used
+/// again when the ejection ends.
 #[test]
-fn a_slow_endpoint_is_ejected_for_a_while() {
+fn slow_endpoint_is_ejected_temporarily() {
     let mut router = router(10);
     let outliers = router.outliers_mut();
     for _ in 0..10 {
         for endpoint in 0..12 {
             let latency = if endpoint == 4 { 0.2 } else { 0.02 };
-            outliers.succeeded(NOW, endpoint, latency);
+            outliers.record_success(NOW, endpoint, latency);
         }
     }
     let later = NOW + RoutingSettings::default().eject();
@@ -207,14 +206,14 @@
     assert!((0..12).filter(|e| outliers.is_ejected(NOW, *e)).eq([4]));
 }
 
-/// Every endpoint fails, perhaps because requests are at fault. Most stay in use, since ejecting
-/// them all would turn a bad hour into an outage.
+/// When every endpoint fails, perhaps because of faulty requests, most stay in use. Ejecting all of
+/// them would turn partial failures into an outage.
 #[test]
-fn most_of_a_pool_is_never_ejected() {
+fn ejected_share_of_a_pool_is_limited() {
     let mut router = router(10);
     let outliers = router.outliers_mut();
     for endpoint in (0..12).cycle().take(1_200) {
-        outliers.failed(NOW, endpoint);
+        outliers.record_failure(NOW, endpoint);
     }
     assert_eq!((0..12).filter(|e| outliers.is_ejected(NOW, *e)).count(), 3);
 }
--- a/crates/sesamecart-decisions/src/settings.rs
+++ b/crates/sesamecart-decisions/src/settings.rs
@@ -1,6 +1,6 @@
-//! Thresholds of all decisions, with checked ranges and defaults that fit both deployments.
+//! Thresholds of all decisions, with validated ranges and defaults that fit both deployments.
 //!
-//! docs/policy.md names for each threshold the figure that set it.
+//! docs/policy.md gives the measurement behind each threshold.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 #[cfg(test)]
 mod tests;
 
-/// Why a threshold can't be used.
+/// A threshold outside its valid range.
 #[derive(Clone, Debug, Error, PartialEq)]
 #[error("{field}: {value} must be from {low} to {high}")]
 pub struct ThresholdError {
@@ -25,13 +25,13 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct DecisionSettings {
-    /// Who is let in and who waits.
+    /// Admission and queueing of requests.
     pub admission: AdmissionSettings,
-    /// What an endpoint bears and how it is lent.
+    /// The concurrency limit of an endpoint and how it is shared between nodes.
     pub allowance: AllowanceSettings,
-    /// Where work goes.
+    /// Choice of an endpoint for each request.
     pub routing: RoutingSettings,
-    /// How often work is sent again.
+    /// Retries of failed attempts.
     pub retry: RetrySettings,
 }
 
@@ -39,22 +39,22 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct AdmissionSettings {
-    /// The most requests that wait in one pool's queue.
+    /// The maximum number of requests that wait in one pool's queue.
     pub max_waiting: usize,
-    /// The most bytes of bodies that wait in one pool's queue.
+    /// The maximum total size, in bytes, of the request bodies that wait in one pool's queue.
     pub max_waiting_bytes: u64,
-    /// How far a request's own length sets it back among its customer's requests: a request of
-    /// expected length `d` is ordered as if it had arrived `stretch * d` later.
+    /// Factor by which a request's expected duration delays it among its customer's requests: a
+    /// request of expected duration `d` is ordered as if it had arrived `stretch * d` later.
     pub stretch: f64,
-    /// How many requests of one customer are tried when the first doesn't fit.
+    /// The number of requests of one customer to try when the first one doesn't fit.
     pub lookahead: usize,
-    /// How often a request that doesn't fit may be passed over before room is kept for it.
+    /// How often a request that doesn't fit may be bypassed before capacity is reserved for it.
     pub max_bypasses: u32,
-    /// Milliseconds of a busy queue over which its drain rate is sampled.
+    /// Length of a drain rate sample, in milliseconds during which the queue is busy.
     pub drain_window_ms: u64,
-    /// The shortest Retry-After in milliseconds.
+    /// The minimum `Retry-After`, in milliseconds.
     pub min_retry_after_ms: u64,
-    /// The longest Retry-After in milliseconds.
+    /// The maximum `Retry-After`, in milliseconds.
     pub max_retry_after_ms: u64,
 }
 
@@ -77,40 +77,40 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct AllowanceSettings {
-    /// Milliseconds that a slice is valid.
+    /// How long a slice is valid, in milliseconds.
     pub slice_ms: u64,
-    /// Milliseconds between a node's renewals; under half of `slice_ms`, so that one lost message
-    /// costs no permit.
+    /// Milliseconds between a node's renewals. At most half of `slice_ms`, so that a node keeps its
+    /// permits when one message is lost.
     pub renew_ms: u64,
-    /// The shortest time in milliseconds between two extra borrows of one node.
+    /// Minimum interval, in milliseconds, between a node's requests for additional permits.
     pub borrow_gap_ms: u64,
-    /// Milliseconds after a failure for which an owner lends nothing and waits for a second one.
+    /// Milliseconds after a failure during which an owner lends nothing and waits for a second failure.
     pub suspect_ms: u64,
-    /// Milliseconds for which a sign of life from an endpoint counts; without one a node starts no
-    /// more than one request there.
+    /// Liveness timeout in milliseconds. A node that has received nothing from an endpoint for this
+    /// long runs at most one request there.
     pub sign_ms: u64,
-    /// Milliseconds after which a node gives up a borrow; an owner keeps an ended slice in its sum
-    /// for as long, since a demand that is on its way may tell of an earlier time.
+    /// Timeout of a demand, in milliseconds. An owner counts an expired slice for this much longer,
+    /// since a demand in flight may describe an earlier state of the node.
     pub borrow_timeout_ms: u64,
-    /// Milliseconds for which a silent node's permits count as in use after its slice ended.
+    /// Milliseconds for which an unresponsive node's permits count as in use after its slice expired.
     pub linger_ms: u64,
-    /// The share of clock drift by which a new owner waits longer than a slice is valid.
+    /// Clock drift, as a fraction of the slice duration, that a new owner adds to its waiting time.
     pub drift: f64,
-    /// Milliseconds between two changes of a limit; not shorter than the lag of load reports.
+    /// Milliseconds between two changes of a limit. Must not be shorter than the lag of load reports.
     pub step_ms: u64,
-    /// Growth of a limit per step while the endpoint warms up.
+    /// The factor by which a limit grows in each step while the endpoint warms up.
     pub growth: f64,
-    /// The factor by which a limit falls when latency is above the bearable one.
+    /// The factor by which a limit shrinks when latency is above the acceptable latency.
     pub decrease: f64,
-    /// Bearable latency as a multiple of the lowest seen.
+    /// Acceptable latency as a multiple of the lowest latency observed.
     pub tolerance: f64,
-    /// Bearable time in milliseconds between two tokens of an engine, whatever the lowest seen.
+    /// Time between two tokens of an engine, in milliseconds, that is always acceptable.
     pub token_gap_ms: u64,
-    /// Bearable latency in milliseconds of a plain service's request, whatever the lowest seen.
+    /// Request latency of a plain service, in milliseconds, that is always acceptable.
     pub service_latency_ms: u64,
-    /// The multiple of the bearable latency at which an endpoint counts as turned cold.
+    /// The multiple of the acceptable latency above which an endpoint is treated as cold.
     pub cold_latency: f64,
-    /// The share of a limit in use from which it may grow.
+    /// The fraction of a limit that must be in use before the limit grows.
     pub growth_use: f64,
 }
 
@@ -141,25 +141,25 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RoutingSettings {
-    /// About how many nodes share one endpoint; a node's subset follows from it.
+    /// Approximate number of nodes that share one endpoint; determines the size of a node's subset.
     pub nodes_per_endpoint: usize,
-    /// The smallest subset of endpoints that a node uses.
+    /// The minimum number of endpoints that a node uses.
     pub min_subset: usize,
-    /// The largest subset of endpoints that a node uses.
+    /// The maximum number of endpoints that a node uses.
     pub max_subset: usize,
-    /// The most prefixes that a node remembers.
+    /// The maximum number of prefixes that a node tracks.
     pub max_prefixes: usize,
-    /// How far above the mean an endpoint may be loaded and still be chosen for its prefix.
+    /// The multiple of the mean load up to which an endpoint is chosen for a prefix that it caches.
     pub affinity_bound: f64,
-    /// The share of free permits in the own failure domain below which work spills to others.
+    /// The fraction of free permits in the node's own failure domain below which work spills to others.
     pub spill_below: f64,
     /// The multiple of the median latency at which an endpoint is ejected.
     pub eject_latency: f64,
-    /// The number of failures in a row at which an endpoint is ejected.
+    /// The number of consecutive failures at which an endpoint is ejected.
     pub eject_failures: u32,
-    /// Milliseconds of the first ejection; each further one is longer by as much.
+    /// Duration of the first ejection in milliseconds; each consecutive one is longer by the same amount.
     pub eject_ms: u64,
-    /// The largest share of a subset that may be ejected at once.
+    /// The maximum fraction of a subset that may be ejected at the same time.
     pub max_ejected: f64,
 }
 
@@ -184,11 +184,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RetrySettings {
-    /// Retries as a share of first attempts.
+    /// Retries as a fraction of first attempts.
     pub budget: f64,
-    /// The most retries that may be saved up.
+    /// The maximum number of unused retries that accumulate.
     pub max_saved: f64,
-    /// The most attempts of one request.
+    /// The maximum number of attempts per request.
     pub max_attempts: u32,
 }
 
@@ -203,19 +203,19 @@
 }
 
 impl AdmissionSettings {
-    /// Returns the window over which the drain rate is sampled.
+    /// Returns the length of a drain rate sample.
     #[must_use]
     pub const fn drain_window(&self) -> Duration {
         Duration::from_millis(self.drain_window_ms)
     }
 
-    /// Returns the shortest Retry-After.
+    /// Returns the minimum `Retry-After`.
     #[must_use]
     pub const fn min_retry_after(&self) -> Duration {
         Duration::from_millis(self.min_retry_after_ms)
     }
 
-    /// Returns the longest Retry-After.
+    /// Returns the maximum `Retry-After`.
     #[must_use]
     pub const fn max_retry_after(&self) -> Duration {
         Duration::from_millis(self.max_retry_after_ms)
@@ -229,49 +229,49 @@
         Duration::from_millis(self.slice_ms)
     }
 
-    /// Returns the time between two renewals.
+    /// Returns the interval between two renewals.
     #[must_use]
     pub const fn renew(&self) -> Duration {
         Duration::from_millis(self.renew_ms)
     }
 
-    /// Returns the shortest time between two extra borrows.
+    /// Returns the minimum interval between a node's requests for additional permits.
     #[must_use]
     pub const fn borrow_gap(&self) -> Duration {
         Duration::from_millis(self.borrow_gap_ms)
     }
 
-    /// Returns how long an owner waits for a second failure.
+    /// Returns how long an owner lends nothing after a failure.
     #[must_use]
     pub const fn suspect(&self) -> Duration {
         Duration::from_millis(self.suspect_ms)
     }
 
-    /// Returns how long a sign of life from an endpoint counts.
+    /// Returns how long an endpoint counts as alive after a response.
     #[must_use]
     pub const fn sign(&self) -> Duration {
         Duration::from_millis(self.sign_ms)
     }
 
-    /// Returns how long a node waits for the answer to a borrow.
+    /// Returns how long a node waits for the answer to a demand.
     #[must_use]
     pub const fn borrow_timeout(&self) -> Duration {
         Duration::from_millis(self.borrow_timeout_ms)
     }
 
-    /// Returns how long a silent node's permits count as in use.
+    /// Returns how long an unresponsive node's permits count as in use after its slice expired.
     #[must_use]
     pub const fn linger(&self) -> Duration {
         Duration::from_millis(self.linger_ms)
     }
 
-    /// Returns the time between two changes of a limit.
+    /// Returns the minimum interval between two changes of a limit.
     #[must_use]
     pub const fn step(&self) -> Duration {
         Duration::from_millis(self.step_ms)
     }
 
-    /// Returns how long a new owner waits until its predecessor's slices have ended.
+    /// Returns how long a new owner waits until its predecessor's slices have expired.
     #[must_use]
     pub fn takeover_wait(&self) -> Duration {
         self.slice().mul_f64(1.0 + self.drift)
@@ -279,16 +279,18 @@
 }
 
 impl RoutingSettings {
-    /// Returns the length of the first ejection.
+    /// Returns the duration of the first ejection.
     #[must_use]
     pub const fn eject(&self) -> Duration {
         Duration::from_millis(self.eject_ms)
     }
 
-    /// Returns the number of endpoints that each of `nodes` nodes uses out of `endpoints`.
+    /// Returns how many of `endpoints` endpoints each of `nodes` nodes uses.
     #[must_use]
     pub fn subset(&self, endpoints: usize, nodes: usize) -> usize {
-        let even = (self.nodes_per_endpoint * endpoints).div_ceil(nodes.max(1));
-        even.clamp(self.min_subset, self.max_subset).min(endpoints)
+        let even_share = (self.nodes_per_endpoint * endpoints).div_ceil(nodes.max(1));
+        even_share
+            .clamp(self.min_subset, self.max_subset)
+            .min(endpoints)
     }
 }
