--- a/crates/sesamecart-decisions/src/admission/queue.rs
+++ b/crates/sesamecart-decisions/src/admission/queue.rs
@@ -50,7 +50,7 @@
 
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 struct Expiry {
-    start_by: Timestamp,
+    latest_start: Timestamp,
     ticket: Ticket,
 }
 
@@ -102,7 +102,7 @@
     /// Returns the latest start time of the request that expires next in [`Admission::expire`].
     #[must_use]
     pub fn next_expiry(&self) -> Option<Timestamp> {
-        self.expiries.first().map(|expiry| expiry.start_by)
+        self.expiries.first().map(|expiry| expiry.latest_start)
     }
 
     /// Decides about a new request; `fits` returns whether it can start at an endpoint now.
@@ -155,7 +155,7 @@
     pub fn expire(&mut self, now: Timestamp) -> Vec<Refusal> {
         let mut refusals = std::mem::take(&mut self.displaced);
         while let Some(expiry) = self.expiries.first().copied() {
-            if expiry.start_by >= now {
+            if expiry.latest_start >= now {
                 break;
             }
             self.remove(expiry.ticket);
@@ -206,28 +206,29 @@
     /// the part of the backlog that fair queueing serves meanwhile.
     fn cost_ahead(&self, now: Timestamp, lane: usize, request: &Request) -> f64 {
         let higher = self.lanes.iter().take(lane);
-        let higher_work: u64 = higher
+        let higher_cost: u64 = higher
             .flat_map(|lane| lane.flows.values())
             .map(|flow| flow.backlog.0)
             .sum();
         let lane = &self.lanes[lane];
         let key = self.queue_key(now, request);
         let own = lane.flows.get(&request.customer);
-        let own_work = own.map_or(0, |flow| flow.cost_before(key).0) + request.cost.0;
+        let own_cost = own.map_or(0, |flow| flow.cost_before(key).0) + request.cost.0;
         let weight = f64::from(request.weight.0.max(1));
         let debt = own.map_or(0.0, |flow| (flow.tag - lane.virtual_now).max(0.0));
-        let finish = debt + own_work as f64 / weight;
+        let virtual_finish = debt + own_cost as f64 / weight;
         let others = lane
             .flows
             .iter()
             .filter(|(customer, flow)| **customer != request.customer && flow.backlog.0 > 0);
-        let other_work: f64 = others
+        let other_cost: f64 = others
             .map(|(_, flow)| {
-                let earned = (finish - (flow.tag - lane.virtual_now)).max(0.0) * flow.divisor();
-                earned.min(flow.backlog.0 as f64)
+                let served =
+                    (virtual_finish - (flow.tag - lane.virtual_now)).max(0.0) * flow.divisor();
+                served.min(flow.backlog.0 as f64)
             })
             .sum();
-        higher_work as f64 + own_work as f64 + other_work
+        higher_cost as f64 + own_cost as f64 + other_cost
     }
 
     fn queue_key(&self, now: Timestamp, request: &Request) -> QueueKey {
@@ -282,7 +283,7 @@
         let key = self.queue_key(now, &request);
         let ticket = request.ticket;
         let expiry = Expiry {
-            start_by: request.start_by(),
+            latest_start: request.start_by(),
             ticket,
         };
         self.expiries.insert(expiry);
@@ -302,7 +303,7 @@
         let entry = self.by_ticket.swap_remove(&ticket)?;
         let request = self.lanes[entry.lane].flows[entry.flow].remove(entry.key)?;
         let expiry = Expiry {
-            start_by: request.start_by(),
+            latest_start: request.start_by(),
             ticket,
         };
         self.expiries.remove(&expiry);
--- a/crates/sesamecart-decisions/src/allowance/borrowed.rs
+++ b/crates/sesamecart-decisions/src/allowance/borrowed.rs
@@ -56,7 +56,7 @@
     pub fn new(kv_per_permit: Tokens, cfg: &AllowanceSettings) -> Self {
         Self {
             kv_per_permit,
-            liveness_timeout: cfg.sign(),
+            liveness_timeout: cfg.liveness_timeout(),
             ..Self::default()
         }
     }
@@ -229,6 +229,6 @@
     /// Returns whether the slice is due for renewal.
     #[must_use]
     pub fn needs_renewal(&self, now: Timestamp, cfg: &AllowanceSettings) -> bool {
-        now + cfg.slice() >= self.valid_until + cfg.renew()
+        now + cfg.slice() >= self.valid_until + cfg.renew_interval()
     }
 }
--- a/crates/sesamecart-decisions/src/allowance/limit.rs
+++ b/crates/sesamecart-decisions/src/allowance/limit.rs
@@ -91,7 +91,7 @@
     sample_sum: Sample,
     next_step: Timestamp,
     ignore_samples_until: Timestamp,
-    failures: u32,
+    recent_failures: u32,
     suspect_until: Timestamp,
     incarnation: Option<Incarnation>,
     ready: bool,
@@ -113,9 +113,9 @@
             limits,
             min_latency: None,
             sample_sum: Sample::default(),
-            next_step: now + cfg.step(),
+            next_step: now + cfg.step_interval(),
             ignore_samples_until: now,
-            failures: 0,
+            recent_failures: 0,
             suspect_until: now,
             incarnation: None,
             ready: true,
@@ -153,7 +153,7 @@
     pub fn turn_cold(&mut self, now: Timestamp) {
         self.value = self.value.min(f64::from(self.limits.cold.0));
         self.sample_sum = Sample::default();
-        self.next_step = now + self.cfg.step();
+        self.next_step = now + self.cfg.step_interval();
         self.ignore_samples_until = now + self.cfg.slice();
     }
 
@@ -201,11 +201,11 @@
     /// the second failure reaches the owner. Nothing is lent meanwhile.
     fn record_failures(&mut self, now: Timestamp, failed: u32) {
         if !self.is_suspect(now) {
-            self.failures = 0;
+            self.recent_failures = 0;
         }
-        self.failures += failed;
-        self.suspect_until = now + self.cfg.suspect();
-        if self.failures >= MIN_FAILURES_FOR_COLD {
+        self.recent_failures += failed;
+        self.suspect_until = now + self.cfg.suspect_duration();
+        if self.recent_failures >= MIN_FAILURES_FOR_COLD {
             self.turn_cold(now);
         }
     }
@@ -215,7 +215,7 @@
         if now < self.next_step {
             return;
         }
-        self.next_step = now + self.cfg.step();
+        self.next_step = now + self.cfg.step_interval();
         let sample = std::mem::take(&mut self.sample_sum);
         let Some(latency) = sample.mean_latency() else {
             return;
--- a/crates/sesamecart-decisions/src/allowance/owner.rs
+++ b/crates/sesamecart-decisions/src/allowance/owner.rs
@@ -160,7 +160,7 @@
             valid_until,
         });
         grants.valid_until = valid_until;
-        grants.linger_until = valid_until + self.cfg.linger();
+        grants.linger_until = valid_until + self.cfg.linger_duration();
         self.nodes.insert(node.clone(), grants);
         Slice {
             permits,
--- a/crates/sesamecart-decisions/src/allowance/tests.rs
+++ b/crates/sesamecart-decisions/src/allowance/tests.rs
@@ -42,14 +42,15 @@
     }
 }
 
-/// An allowance at its warm limit, which lends from [`BEGIN`] on.
-fn warm() -> Allowance {
+/// An allowance at its warm limit, which lends at [`START_MS`].
+fn warm_allowance() -> Allowance {
     let mut allowance = Allowance::new(at(0), LIMITS, AllowanceSettings::default());
     allowance.limit_mut().assume_warm();
     allowance
 }
 
-const BEGIN: u64 = 10_000;
+/// A time after the takeover wait of an owner that takes over at zero.
+const START_MS: u64 = 10_000;
 
 /// A node's permits for an endpoint with 2,000 tokens of KV memory per permit.
 fn borrowed() -> Borrowed {
@@ -84,20 +85,20 @@
 
 #[test]
 fn demand_is_met_below_the_limit() {
-    let mut allowance = warm();
-    let slice = allowance.borrow(at(BEGIN), &node(0), &demand(5));
+    let mut allowance = warm_allowance();
+    let slice = allowance.borrow(at(START_MS), &node(0), &demand(5));
     assert!(slice.permits >= Permits(5));
-    let other = allowance.borrow(at(BEGIN), &node(1), &demand(5));
+    let other = allowance.borrow(at(START_MS), &node(1), &demand(5));
     assert!(other.permits >= Permits(5));
 }
 
 #[test]
 fn scarce_permits_are_shared_by_demand() {
-    let mut allowance = warm();
+    let mut allowance = warm_allowance();
     let mut lent = [Permits(0); 2];
     for round in 0..10 {
         for (index, wanted) in [(0, 60), (1, 20)] {
-            let now = at(BEGIN + round * 400);
+            let now = at(START_MS + round * 400);
             lent[index] = allowance.borrow(now, &node(index), &demand(wanted)).permits;
         }
     }
@@ -109,14 +110,14 @@
 #[test]
 fn permits_of_an_unresponsive_node_expire() {
     let cfg = AllowanceSettings::default();
-    let mut allowance = warm();
-    allowance.borrow(at(BEGIN), &node(0), &demand(32));
-    let soon = at(BEGIN) + cfg.slice();
+    let mut allowance = warm_allowance();
+    allowance.borrow(at(START_MS), &node(0), &demand(32));
+    let soon = at(START_MS) + cfg.slice();
     assert_eq!(
         allowance.borrow(soon, &node(1), &demand(32)).permits,
         Permits(0)
     );
-    let later = soon + cfg.linger();
+    let later = soon + cfg.linger_duration();
     assert_eq!(
         allowance.borrow(later, &node(1), &demand(32)).permits,
         Permits(32)
@@ -126,12 +127,12 @@
 /// The failure of a node is known and its connections are closed, so only its slice counts.
 #[test]
 fn permits_of_a_failed_node_expire_with_its_slice() {
-    let mut allowance = warm();
-    allowance.borrow(at(BEGIN), &node(0), &demand(32));
+    let mut allowance = warm_allowance();
+    allowance.borrow(at(START_MS), &node(0), &demand(32));
     allowance.node_failed(&node(0));
-    let before = allowance.borrow(at(BEGIN + 900), &node(1), &demand(32));
+    let before = allowance.borrow(at(START_MS + 900), &node(1), &demand(32));
     assert_eq!(before.permits, Permits(0));
-    let after = allowance.borrow(at(BEGIN + 1_000), &node(1), &demand(32));
+    let after = allowance.borrow(at(START_MS + 1_000), &node(1), &demand(32));
     assert_eq!(after.permits, Permits(32));
 }
 
@@ -139,7 +140,7 @@
 /// nothing until they have expired, and then no more than the endpoint's load report leaves free.
 #[test]
 fn new_owner_waits_for_its_predecessors_slices_to_expire() {
-    let mut allowance = warm();
+    let mut allowance = warm_allowance();
     assert_eq!(
         allowance.borrow(at(1_000), &node(0), &demand(8)).permits,
         Permits(0)
@@ -173,13 +174,13 @@
 fn limit_of_a_cold_endpoint_grows_with_use() {
     let mut allowance = Allowance::new(at(0), LIMITS, AllowanceSettings::default());
     assert_eq!(allowance.limit(), Permits(4));
-    run_at_limit(&mut allowance, BEGIN, 5, 15);
+    run_at_limit(&mut allowance, START_MS, 5, 15);
     assert!(
         (6..=12).contains(&allowance.limit().0),
         "{}",
         allowance.limit()
     );
-    run_at_limit(&mut allowance, BEGIN + 5_000, 16, 15);
+    run_at_limit(&mut allowance, START_MS + 5_000, 16, 15);
     assert_eq!(allowance.limit(), Permits(32));
 }
 
@@ -188,7 +189,7 @@
 /// of them a few permits, the cold engine would run several times its cold limit.
 #[test]
 fn nothing_is_lent_between_the_first_failure_and_the_second() {
-    let mut allowance = warm();
+    let mut allowance = warm_allowance();
     let sample = Sample {
         failed: 1,
         ..Sample::default()
@@ -197,14 +198,14 @@
         sample,
         ..demand(4)
     };
-    let first = allowance.borrow(at(BEGIN), &node(0), &failed);
+    let first = allowance.borrow(at(START_MS), &node(0), &failed);
     assert_eq!(first.permits, Permits(0));
     assert_eq!(
         allowance.limit(),
         Permits(32),
         "one failure may be caused by the network"
     );
-    allowance.borrow(at(BEGIN + 10), &node(1), &failed);
+    allowance.borrow(at(START_MS + 10), &node(1), &failed);
     assert_eq!(allowance.limit(), Permits(4));
 }
 
@@ -218,7 +219,7 @@
         ..LIMITS
     };
     let mut allowance = Allowance::new(at(0), limits, AllowanceSettings::default());
-    run_at_limit(&mut allowance, BEGIN, 40, 15);
+    run_at_limit(&mut allowance, START_MS, 40, 15);
     assert_eq!(allowance.limit(), Permits(32));
 }
 
@@ -227,7 +228,7 @@
     let mut allowance = Allowance::new(at(0), LIMITS, AllowanceSettings::default());
     for second in 0..60 {
         allowance.borrow(
-            at(BEGIN + 1_000 * second),
+            at(START_MS + 1_000 * second),
             &node(0),
             &demand_with_token_gap(15, 0),
         );
@@ -240,11 +241,11 @@
         $(#[doc = $doc])*
         #[test]
         fn $name() {
-            let mut allowance = warm();
-            run_at_limit(&mut allowance, BEGIN, 5, 20);
+            let mut allowance = warm_allowance();
+            run_at_limit(&mut allowance, START_MS, 5, 20);
             assert_eq!(allowance.limit(), Permits(32));
             let trigger: fn(&mut Allowance, Timestamp) = $trigger;
-            trigger(&mut allowance, at(BEGIN + 6_000));
+            trigger(&mut allowance, at(START_MS + 6_000));
             assert!(allowance.limit() <= Permits(4), "{}", allowance.limit());
         }
     )*};
@@ -278,9 +279,9 @@
 /// dropping to the cold limit.
 #[test]
 fn limit_shrinks_while_latency_is_too_high() {
-    let mut allowance = warm();
-    run_at_limit(&mut allowance, BEGIN, 3, 15);
-    run_at_limit(&mut allowance, BEGIN + 3_000, 4, 45);
+    let mut allowance = warm_allowance();
+    run_at_limit(&mut allowance, START_MS, 3, 15);
+    run_at_limit(&mut allowance, START_MS + 3_000, 4, 45);
     let limit = allowance.limit().0;
     assert!((10..32).contains(&limit), "{limit}");
 }
@@ -310,16 +311,16 @@
 /// If the other half were lent at once, more requests would run than the limit allows.
 #[test]
 fn slice_counts_until_it_expires_after_a_smaller_one() {
-    let mut allowance = warm();
-    let first = allowance.borrow(at(BEGIN), &node(0), &demand(32));
+    let mut allowance = warm_allowance();
+    let first = allowance.borrow(at(START_MS), &node(0), &demand(32));
     assert_eq!(first.permits, Permits(32));
-    allowance.borrow(at(BEGIN + 10), &node(1), &demand(32));
-    let halved = allowance.borrow(at(BEGIN + 400), &node(0), &demand(32));
+    allowance.borrow(at(START_MS + 10), &node(1), &demand(32));
+    let halved = allowance.borrow(at(START_MS + 400), &node(0), &demand(32));
     assert_eq!(halved.permits, Permits(16));
-    let early = allowance.borrow(at(BEGIN + 410), &node(1), &demand(32));
+    let early = allowance.borrow(at(START_MS + 410), &node(1), &demand(32));
     assert_eq!(early.permits, Permits(0));
-    allowance.borrow(at(BEGIN + 1_300), &node(0), &demand(32));
-    let late = allowance.borrow(at(BEGIN + 1_310), &node(1), &demand(32));
+    allowance.borrow(at(START_MS + 1_300), &node(0), &demand(32));
+    let late = allowance.borrow(at(START_MS + 1_310), &node(1), &demand(32));
     assert_eq!(late.permits, Permits(16));
 }
 
@@ -327,19 +328,19 @@
 /// owner applied the old demand, it would also lend the same permits to another node.
 #[test]
 fn outdated_demand_is_ignored() {
-    let mut allowance = warm();
+    let mut allowance = warm_allowance();
     let later = Demand {
         asked: at(20),
         ..demand(8)
     };
-    allowance.borrow(at(BEGIN), &node(0), &later);
+    allowance.borrow(at(START_MS), &node(0), &later);
     let earlier = Demand {
         asked: at(10),
         ..demand(0)
     };
-    let slice = allowance.borrow(at(BEGIN), &node(0), &earlier);
+    let slice = allowance.borrow(at(START_MS), &node(0), &earlier);
     assert_eq!(slice.permits, Permits(0));
-    let other = allowance.borrow(at(BEGIN), &node(1), &demand(32));
+    let other = allowance.borrow(at(START_MS), &node(1), &demand(32));
     assert!(other.permits <= Permits(24), "{other:?}");
 }
 
--- a/crates/sesamecart-decisions/src/allowance/tests/lending.rs
+++ b/crates/sesamecart-decisions/src/allowance/tests/lending.rs
@@ -5,7 +5,7 @@
 use sesamecart_property::check_property;
 use sesamecart_vocabulary::{Permits, Timestamp, Tokens};
 
-use super::{BEGIN, LIMITS, at, borrowed, node, warm};
+use super::{LIMITS, START_MS, at, borrowed, node, warm_allowance};
 use crate::allowance::{Allowance, Borrowed, Demand, Slice};
 use crate::settings::AllowanceSettings;
 
@@ -61,8 +61,8 @@
     fn new() -> Self {
         Self {
             cfg: AllowanceSettings::default(),
-            now: at(BEGIN),
-            allowance: warm(),
+            now: at(START_MS),
+            allowance: warm_allowance(),
             nodes: [borrowed(), borrowed(), borrowed()],
             running: Default::default(),
             demands: Vec::new(),
--- a/crates/sesamecart-decisions/src/pool.rs
+++ b/crates/sesamecart-decisions/src/pool.rs
@@ -137,7 +137,7 @@
 
     /// Sets whether an endpoint receives new work.
     ///
-    /// An endpoint that becomes active again is cold, and permits lent before don't apply to it. Its
+    /// An endpoint that becomes active again is cold, and permits lent earlier don't apply to it. Its
     /// slice is therefore invalidated and the owner is asked for a new one.
     pub fn set_state(&mut self, now: Timestamp, endpoint: usize, state: EndpointState) {
         let target = &mut self.router.endpoints_mut()[endpoint];
@@ -237,15 +237,15 @@
     }
 
     /// Returns the demands that are due: renewals of slices, and, while requests wait for permits,
-    /// requests for additional permits at most once per [`AllowanceSettings::borrow_gap`].
+    /// requests for additional permits at most once per [`AllowanceSettings::min_borrow_interval`].
     ///
-    /// [`AllowanceSettings::borrow_gap`]: crate::settings::AllowanceSettings::borrow_gap
+    /// [`AllowanceSettings::min_borrow_interval`]: crate::settings::AllowanceSettings::min_borrow_interval
     pub fn demands(&mut self, now: Timestamp) -> Vec<EndpointDemand> {
-        let is_waiting = self.admission.waiting() > 0 && now >= self.next_borrow;
-        if is_waiting {
-            self.next_borrow = now + self.cfg.allowance.borrow_gap();
+        let may_borrow = self.admission.waiting() > 0 && now >= self.next_borrow;
+        if may_borrow {
+            self.next_borrow = now + self.cfg.allowance.min_borrow_interval();
         }
-        let additional = if is_waiting {
+        let additional = if may_borrow {
             self.additional_permits()
         } else {
             Vec::new()
@@ -254,14 +254,14 @@
         let mut demands = Vec::new();
         for (index, endpoint) in self.router.endpoints_mut().iter_mut().enumerate() {
             let borrowed = &mut endpoint.borrowed;
-            let more = additional.get(index).copied().unwrap_or_default();
-            let due = more > Permits(0) || borrowed.needs_renewal(now, &allowance);
-            if !due || !borrowed.may_send_demand(now, &allowance) {
+            let extra = additional.get(index).copied().unwrap_or_default();
+            let is_due = extra > Permits(0) || borrowed.needs_renewal(now, &allowance);
+            if !is_due || !borrowed.may_send_demand(now, &allowance) {
                 continue;
             }
             demands.push(EndpointDemand {
                 endpoint: index,
-                demand: borrowed.demand(now, more),
+                demand: borrowed.demand(now, extra),
             });
         }
         demands
--- a/crates/sesamecart-decisions/src/routing/outlier.rs
+++ b/crates/sesamecart-decisions/src/routing/outlier.rs
@@ -108,7 +108,7 @@
         }
         let stats = &mut self.endpoints[endpoint];
         stats.consecutive_ejections = (stats.consecutive_ejections + 1).min(MAX_EJECTION_FACTOR);
-        stats.ejected_until = now + self.cfg.eject() * stats.consecutive_ejections;
+        stats.ejected_until = now + self.cfg.ejection_duration() * stats.consecutive_ejections;
         stats.samples = 0;
         stats.failures = 0;
     }
--- a/crates/sesamecart-decisions/src/routing/router.rs
+++ b/crates/sesamecart-decisions/src/routing/router.rs
@@ -110,23 +110,23 @@
         cfg: RoutingSettings,
     ) -> Self {
         let mut endpoints: Vec<_> = endpoints.into_iter().collect();
-        let size = cfg.subset(endpoints.len(), nodes.len());
-        let own = stable_hash(node.as_str());
-        let others: Vec<u64> = nodes
+        let size = cfg.subset_size(endpoints.len(), nodes.len());
+        let own_hash = stable_hash(node.as_str());
+        let node_hashes: Vec<u64> = nodes
             .iter()
             .map(|node| stable_hash(node.as_str()))
             .collect();
-        let is_first = |endpoint: &PoolEndpoint| {
-            let weight = weight(endpoint.hash, own);
-            !others
+        let ranks_first = |endpoint: &PoolEndpoint| {
+            let weight = weight(endpoint.hash, own_hash);
+            !node_hashes
                 .iter()
                 .any(|other| weight < self::weight(endpoint.hash, *other))
         };
-        endpoints.sort_by_key(|endpoint| std::cmp::Reverse(weight(endpoint.hash, own)));
+        endpoints.sort_by_key(|endpoint| std::cmp::Reverse(weight(endpoint.hash, own_hash)));
         let mut rank = 0;
         endpoints.retain(|endpoint| {
             rank += 1;
-            rank <= size || is_first(endpoint)
+            rank <= size || ranks_first(endpoint)
         });
         for endpoint in &mut endpoints {
             endpoint.is_local = endpoint.domain == *domain;
@@ -241,13 +241,13 @@
     ) -> Option<Route> {
         let mean = load.in_flight as f64 / load.available as f64;
         let bound = self.cfg.affinity_bound * mean + 1.0;
-        let may_take = |index: usize| {
+        let is_eligible = |index: usize| {
             let in_flight = f64::from(self.endpoints[index].borrowed.in_flight().0);
             in_flight <= bound && self.is_available(now, index, request.kv)
         };
         let holders = self.hints.holders(prefix).iter().copied();
         let cached = holders
-            .filter(|index| may_take(*index))
+            .filter(|index| is_eligible(*index))
             .min_by_key(|index| self.endpoints[*index].borrowed.in_flight());
         if let Some(endpoint) = cached {
             return Some(Route {
@@ -256,7 +256,7 @@
             });
         }
         let home = self.prefix_home(prefix)?;
-        may_take(home).then_some(Route {
+        is_eligible(home).then_some(Route {
             endpoint: home,
             reason: RouteReason::PrefixHome,
         })
--- a/crates/sesamecart-decisions/src/routing/tests.rs
+++ b/crates/sesamecart-decisions/src/routing/tests.rs
@@ -200,7 +200,7 @@
             outliers.record_success(NOW, endpoint, latency);
         }
     }
-    let later = NOW + RoutingSettings::default().eject();
+    let later = NOW + RoutingSettings::default().ejection_duration();
     assert!(outliers.is_ejected(NOW, 4));
     assert!(!outliers.is_ejected(later, 4));
     assert!((0..12).filter(|e| outliers.is_ejected(NOW, *e)).eq([4]));
--- a/crates/sesamecart-decisions/src/settings.rs
+++ b/crates/sesamecart-decisions/src/settings.rs
@@ -231,25 +231,25 @@
 
     /// Returns the interval between two renewals.
     #[must_use]
-    pub const fn renew(&self) -> Duration {
+    pub const fn renew_interval(&self) -> Duration {
         Duration::from_millis(self.renew_ms)
     }
 
     /// Returns the minimum interval between a node's requests for additional permits.
     #[must_use]
-    pub const fn borrow_gap(&self) -> Duration {
+    pub const fn min_borrow_interval(&self) -> Duration {
         Duration::from_millis(self.borrow_gap_ms)
     }
 
     /// Returns how long an owner lends nothing after a failure.
     #[must_use]
-    pub const fn suspect(&self) -> Duration {
+    pub const fn suspect_duration(&self) -> Duration {
         Duration::from_millis(self.suspect_ms)
     }
 
     /// Returns how long an endpoint counts as alive after a response.
     #[must_use]
-    pub const fn sign(&self) -> Duration {
+    pub const fn liveness_timeout(&self) -> Duration {
         Duration::from_millis(self.sign_ms)
     }
 
@@ -261,13 +261,13 @@
 
     /// Returns how long an unresponsive node's permits count as in use after its slice expired.
     #[must_use]
-    pub const fn linger(&self) -> Duration {
+    pub const fn linger_duration(&self) -> Duration {
         Duration::from_millis(self.linger_ms)
     }
 
     /// Returns the minimum interval between two changes of a limit.
     #[must_use]
-    pub const fn step(&self) -> Duration {
+    pub const fn step_interval(&self) -> Duration {
         Duration::from_millis(self.step_ms)
     }
 
@@ -281,13 +281,13 @@
 impl RoutingSettings {
     /// Returns the duration of the first ejection.
     #[must_use]
-    pub const fn eject(&self) -> Duration {
+    pub const fn ejection_duration(&self) -> Duration {
         Duration::from_millis(self.eject_ms)
     }
 
     /// Returns how many of `endpoints` endpoints each of `nodes` nodes uses.
     #[must_use]
-    pub fn subset(&self, endpoints: usize, nodes: usize) -> usize {
+    pub fn subset_size(&self, endpoints: usize, nodes: usize) -> usize {
         let even_share = (self.nodes_per_endpoint * endpoints).div_ceil(nodes.max(1));
         even_share
             .clamp(self.min_subset, self.max_subset)
--- a/crates/sesamecart-decisions/src/settings/tests.rs
+++ b/crates/sesamecart-decisions/src/settings/tests.rs
@@ -33,7 +33,7 @@
 #[test]
 fn subset_size_scales_with_endpoints_and_nodes() {
     let cfg = RoutingSettings::default();
-    assert_eq!(cfg.subset(50, 8), 19);
-    assert_eq!(cfg.subset(3, 8), 3);
-    assert_eq!(cfg.subset(660, 380), 8);
+    assert_eq!(cfg.subset_size(50, 8), 19);
+    assert_eq!(cfg.subset_size(3, 8), 3);
+    assert_eq!(cfg.subset_size(660, 380), 8);
 }
