--- a/crates/sesamecart-vocabulary/src/class.rs
+++ b/crates/sesamecart-vocabulary/src/class.rs
@@ -1,12 +1,12 @@
-//! Classes of requests, in the order in which they are let in.
+//! Request classes, in the order of their admission.
 
 use derive_more::{Display, FromStr};
 use serde::{Deserialize, Serialize};
 
-/// What kind of work a request is, which decides who goes first under load.
+/// The class of a request, which determines its priority under load.
 ///
-/// Stock and payment actions come first because a lost or late one costs a user a truck or a
-/// refund; see docs/policy.md.
+/// Stock and payment actions have the highest priority because a lost or late one costs a user a truck
+/// delivery or a refund; see docs/policy.md.
 #[derive(
     Clone,
     Copy,
@@ -27,17 +27,17 @@
 pub enum RequestClass {
     /// Stock and payment actions.
     Action,
-    /// Requests a person waits for.
+    /// Requests that a person waits for.
     Interactive,
-    /// Work that nobody waits for.
+    /// Background work that nobody waits for.
     Batch,
 }
 
 impl RequestClass {
-    /// All classes, the first to be served first.
+    /// All classes, from the highest to the lowest priority.
     pub const ALL: [Self; 3] = [Self::Action, Self::Interactive, Self::Batch];
 
-    /// Returns the priority that is passed on to engines.
+    /// Returns the priority that is sent to engines.
     #[must_use]
     pub const fn priority(self) -> Priority {
         match self {
@@ -48,7 +48,7 @@
     }
 }
 
-/// A priority as engines take it; lower goes first.
+/// A request priority of engines; lower values are served first.
 #[derive(
     Clone,
     Copy,
--- a/crates/sesamecart-vocabulary/src/id.rs
+++ b/crates/sesamecart-vocabulary/src/id.rs
@@ -1,31 +1,31 @@
-//! Names of the things that configuration and records speak about.
+//! IDs of the objects that configurations and records refer to.
 
 use std::str::FromStr;
 
 use derive_more::{AsRef, Display};
 use serde::{Deserialize, Serialize};
 
-/// The longest name that is accepted, in bytes.
+/// The maximum length of a name in bytes.
 ///
-/// Names travel in headers, metric labels and heartbeats, so an unbounded one would let a single
-/// configuration line enlarge every message.
+/// Names are part of headers, metric labels and heartbeats. Without a limit, a single line of configuration
+/// could enlarge every message.
 const MAX_ID_BYTES: usize = 128;
 
-/// Why a text can't be used as a name.
+/// The error of parsing a name.
 #[derive(Clone, Debug, Display, Eq, PartialEq, derive_more::Error)]
 pub enum ParseIdError {
     /// The name is empty.
     #[display("a name must not be empty")]
     Empty,
-    /// The name has more than 128 bytes.
+    /// The name is longer than 128 bytes.
     #[display("a name must have at most {MAX_ID_BYTES} bytes")]
     TooLong,
-    /// The name holds a character that headers or metric labels can't carry unquoted.
+    /// The name contains a character that would need quoting in a header or a metric label.
     #[display("a name may hold only letters, digits and . _ : / -, not {_0:?}")]
     Character(#[error(not(source))] char),
 }
 
-fn check(text: &str) -> Result<(), ParseIdError> {
+fn validate(text: &str) -> Result<(), ParseIdError> {
     if text.is_empty() {
         return Err(ParseIdError::Empty);
     }
@@ -50,7 +50,7 @@
         pub struct $name(String);
 
         impl $name {
-            /// Returns the name as text.
+            /// Returns the name as a string slice.
             #[must_use]
             pub fn as_str(&self) -> &str {
                 &self.0
@@ -61,7 +61,7 @@
             type Err = ParseIdError;
 
             fn from_str(text: &str) -> Result<Self, Self::Err> {
-                check(text)?;
+                validate(text)?;
                 Ok(Self(text.to_owned()))
             }
         }
@@ -70,7 +70,7 @@
             type Error = ParseIdError;
 
             fn try_from(text: String) -> Result<Self, Self::Error> {
-                check(&text)?;
+                validate(&text)?;
                 Ok(Self(text))
             }
         }
@@ -88,23 +88,23 @@
     NodeId
 );
 name_id!(
-    /// A VM of the platform, as the planners' sheet names it.
+    /// A VM of the platform, named as in the planners' sheet.
     VmId
 );
 name_id!(
-    /// A back end that serves requests: a serving group's front or one plain service process.
+    /// A back end that serves requests: the head of a serving group or a plain service process.
     EndpointId
 );
 name_id!(
-    /// A serving group: the VMs that together hold one replica of a model.
+    /// A serving group: the VMs that together serve one replica of a model.
     GroupId
 );
 name_id!(
-    /// A tenant whose callers use the system.
+    /// A customer: a tenant whose callers use the system.
     CustomerId
 );
 name_id!(
-    /// A service that callers ask for by name.
+    /// A service that callers request by name.
     ServiceId
 );
 name_id!(
@@ -112,19 +112,19 @@
     ModelId
 );
 name_id!(
-    /// An adapter that an engine can load beside a model.
+    /// An adapter that an engine can load in addition to a model.
     AdapterId
 );
 name_id!(
-    /// A failure domain: a zone whose VMs can be lost together.
+    /// A failure domain: a zone whose VMs can fail together.
     FailureDomainId
 );
 name_id!(
-    /// A fabric domain: VMs joined by a network fast enough for one replica.
+    /// A fabric domain: VMs connected by a network that is fast enough for one replica to span them.
     FabricDomainId
 );
 name_id!(
-    /// A region: failure domains close to each other.
+    /// A region: failure domains that are close to each other.
     RegionId
 );
 name_id!(
@@ -132,16 +132,16 @@
     TeamId
 );
 name_id!(
-    /// A publisher's own name for one change, by which it finds the verdict after a lost answer.
+    /// The ID that a publisher assigns to a change, so that it can look up the verdict if the response is lost.
     PublishId
 );
 name_id!(
-    /// A caller's request, followed over nodes in logs.
+    /// A caller's request, used to correlate log lines across nodes.
     RequestId
 );
 name_id!(
-    /// One try of a request at one endpoint; an answer must carry it back.
+    /// An attempt of a request at an endpoint. The response must repeat the ID.
     ///
-    /// Without it, a late or crossed answer on a reused connection could reach another caller.
+    /// Otherwise a late or misrouted response on a reused connection could reach another caller.
     AttemptId
 );
--- a/crates/sesamecart-vocabulary/src/key.rs
+++ b/crates/sesamecart-vocabulary/src/key.rs
@@ -1,4 +1,4 @@
-//! Hashes of callers' keys and of request bodies, and the callers' idempotency keys.
+//! Digests of secret keys and request bodies, and idempotency keys.
 
 use std::str::FromStr;
 
@@ -7,21 +7,21 @@
 use sha2::{Digest, Sha256};
 use subtle::ConstantTimeEq;
 
-/// The longest idempotency key that is accepted, in bytes.
+/// The maximum length of an idempotency key in bytes.
 const MAX_KEY_BYTES: usize = 255;
 
-/// Why a text can't be read as a digest or an idempotency key.
+/// The error of parsing a digest or an idempotency key.
 #[derive(Clone, Debug, Display, Eq, PartialEq, derive_more::Error)]
 pub enum ParseDigestError {
-    /// A digest isn't 64 hexadecimal digits.
+    /// The digest doesn't consist of 64 hexadecimal digits.
     #[display("a digest must be 64 hexadecimal digits")]
     Digits,
-    /// An idempotency key is empty, too long or holds control characters.
+    /// The idempotency key is empty, too long, or contains characters other than printable ASCII.
     #[display("an idempotency key must have 1 to {MAX_KEY_BYTES} printable ASCII characters")]
     Key,
 }
 
-fn digest_from_hex(text: &str) -> Result<[u8; 32], ParseDigestError> {
+fn parse_hex_digest(text: &str) -> Result<[u8; 32], ParseDigestError> {
     if text.len() != 64 || !text.is_ascii() {
         return Err(ParseDigestError::Digits);
     }
@@ -33,7 +33,7 @@
     Ok(bytes)
 }
 
-fn hex(bytes: &[u8]) -> String {
+fn to_hex(bytes: &[u8]) -> String {
     use std::fmt::Write as _;
     bytes
         .iter()
@@ -47,8 +47,8 @@
     ($(#[doc = $doc:literal])* $name:ident) => {
         $(#[doc = $doc])*
         #[derive(Clone, Copy, Debug, Display, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize, Deserialize)]
-        #[debug("{}", hex(_0))]
-        #[display("{}", hex(_0))]
+        #[debug("{}", to_hex(_0))]
+        #[display("{}", to_hex(_0))]
         #[serde(try_from = "String", into = "String")]
         pub struct $name([u8; 32]);
 
@@ -59,7 +59,7 @@
                 Self(Sha256::digest(bytes).into())
             }
 
-            /// Compares without telling by the time taken where the first difference is.
+            /// Compares two digests in constant time, so that the duration doesn't reveal where they differ.
             #[must_use]
             pub fn matches(&self, other: &Self) -> bool {
                 self.0.ct_eq(&other.0).into()
@@ -70,7 +70,7 @@
             type Err = ParseDigestError;
 
             fn from_str(text: &str) -> Result<Self, Self::Err> {
-                digest_from_hex(text).map(Self)
+                parse_hex_digest(text).map(Self)
             }
         }
 
@@ -91,11 +91,11 @@
 }
 
 digest!(
-    /// The hash of a caller's or operator's secret key; the key itself is never kept.
+    /// The hash of a caller's or operator's secret key. The key itself is never stored.
     KeyHash
 );
 digest!(
-    /// The hash of a request's body, which tells a repeated request from a different one.
+    /// The hash of a request body, which distinguishes a retried request from a different one.
     BodyDigest
 );
 
@@ -105,7 +105,7 @@
 pub struct IdempotencyKey(String);
 
 impl IdempotencyKey {
-    /// Returns the key as text.
+    /// Returns the key as a string slice.
     #[must_use]
     pub fn as_str(&self) -> &str {
         &self.0
--- a/crates/sesamecart-vocabulary/src/lib.rs
+++ b/crates/sesamecart-vocabulary/src/lib.rs
@@ -1,7 +1,7 @@
-//! Ids, sizes, rates and times shared by every sesamecart crate.
+//! IDs, sizes, rates and times shared by all sesamecart crates.
 //!
-//! Each is a newtype, so that an offset can't be passed where an epoch is meant. The words follow
-//! the users' brief; docs/glossary.md maps them to the field's standard terms.
+//! Each is a newtype, so that for example an offset can't be passed as an epoch. docs/glossary.md maps the
+//! names, which follow the users' specification, to the standard terms of the field.
 
 mod class;
 mod hash;
--- a/crates/sesamecart-vocabulary/src/number.rs
+++ b/crates/sesamecart-vocabulary/src/number.rs
@@ -6,7 +6,7 @@
 use derive_more::{Display, From, Into};
 use serde::{Deserialize, Serialize};
 
-/// Why a text can't be read as a number.
+/// The error of parsing a number.
 #[derive(Clone, Debug, Display, Eq, PartialEq, derive_more::Error)]
 #[display("{text:?} is not a whole number that fits {what}")]
 pub struct ParseNumberError {
@@ -26,7 +26,7 @@
         pub struct $name(pub $inner);
 
         impl $name {
-            /// Returns the next higher value, staying at the highest one.
+            /// Returns the next value, saturating at the maximum.
             #[must_use]
             pub fn next(self) -> Self {
                 Self(self.0.saturating_add(1))
@@ -52,7 +52,7 @@
         number!($(#[doc = $doc])* $name($inner));
 
         impl $name {
-            /// Subtracts, stopping at zero.
+            /// Subtracts, saturating at zero.
             #[must_use]
             pub fn saturating_sub(self, other: Self) -> Self {
                 Self(self.0.saturating_sub(other.0))
@@ -96,46 +96,46 @@
 }
 
 number!(
-    /// The position of a record in the platform's log.
+    /// The position of a record in a topic of the platform's log.
     Offset(u64)
 );
 number!(
-    /// The revision of the configuration: the count of accepted changes.
+    /// The revision of the configuration: the number of accepted changes.
     Revision(u64)
 );
 number!(
-    /// A lease's fencing number: the offset of the claim record that began it.
+    /// The fencing token of a lease: the offset of the claim record that started the lease.
     Epoch(u64)
 );
 number!(
-    /// The generation of a serving group: it rises with every change of its VMs or model version.
+    /// The generation of a serving group, which increases with every change of its VMs or model version.
     Generation(u64)
 );
 number!(
-    /// One life of a process, so that a restarted one isn't taken for its predecessor.
+    /// The incarnation of a process, which distinguishes a restarted process from its predecessor.
     Incarnation(u64)
 );
 number!(
-    /// A shard of what must have one owner.
+    /// A shard of the resources that must have a single owner.
     ShardId(u16)
 );
 size!(
-    /// A count of model tokens.
+    /// A number of model tokens.
     Tokens(u64)
 );
 size!(
-    /// A count of bytes.
+    /// A number of bytes.
     Bytes(u64)
 );
 size!(
-    /// A number of requests that an endpoint may run at once.
+    /// The number of requests that an endpoint may run concurrently.
     Concurrency(u32)
 );
 size!(
-    /// A number of requests that a node may start at an endpoint.
+    /// The number of requests that a node may start at an endpoint.
     Permits(u32)
 );
 number!(
-    /// A customer's weight in fair sharing.
+    /// The weight of a customer in fair sharing.
     Weight(u32)
 );
--- a/crates/sesamecart-vocabulary/src/time.rs
+++ b/crates/sesamecart-vocabulary/src/time.rs
@@ -1,4 +1,4 @@
-//! Points in time that pure code is given, instead of reading a clock.
+//! Timestamps, which are passed to code that must not read a clock.
 
 use std::ops::{Add, Sub};
 use std::str::FromStr;
@@ -9,13 +9,13 @@
 
 use crate::number::ParseNumberError;
 
-/// Why a text can't be read as a timestamp.
+/// The error of parsing a timestamp.
 pub type ParseTimestampError = ParseNumberError;
 
-/// A point in time, in microseconds since a start that one process chooses.
+/// A point in time, in microseconds since a start that each process chooses.
 ///
-/// Pure code gets it as an argument, so that tests, traces and measurements run in virtual time.
-/// It is monotonic and never compared between processes.
+/// Code without side effects gets it as an argument, so that tests, trace replays and measurements can run
+/// in virtual time. It is monotonic, and timestamps of different processes aren't comparable.
 ///
 /// # Examples
 ///
@@ -23,9 +23,9 @@
 /// use std::time::Duration;
 /// use sesamecart_vocabulary::Timestamp;
 ///
-/// let begun = Timestamp::from_millis(5);
-/// let now = begun + Duration::from_millis(2);
-/// assert_eq!(now - begun, Duration::from_millis(2));
+/// let start = Timestamp::from_millis(5);
+/// let now = start + Duration::from_millis(2);
+/// assert_eq!(now - start, Duration::from_millis(2));
 /// ```
 #[derive(
     Clone,
@@ -48,18 +48,18 @@
 pub struct Timestamp(pub u64);
 
 impl Timestamp {
-    /// The start of time.
+    /// The start of the clock.
     pub const ZERO: Self = Self(0);
-    /// A time that is never reached.
+    /// The latest timestamp, which is never reached.
     pub const NEVER: Self = Self(u64::MAX);
 
-    /// Makes a timestamp from whole milliseconds.
+    /// Creates a timestamp from milliseconds.
     #[must_use]
     pub const fn from_millis(millis: u64) -> Self {
         Self(millis * 1_000)
     }
 
-    /// Returns whole milliseconds since the start.
+    /// Returns the whole milliseconds since the start.
     #[must_use]
     pub const fn as_millis(self) -> u64 {
         self.0 / 1_000
