--- a/crates/sesamecart-runtime/src/time.rs
+++ b/crates/sesamecart-runtime/src/time.rs
@@ -36,7 +36,8 @@
     .await
 }
 
-/// A monotonic clock. Code without side effects doesn't read it but gets timestamps as arguments.
+/// The monotonic clock of a process. Code without side effects doesn't read it but gets timestamps as
+/// arguments.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
