--- a/crates/sesamecart-groups/src/assignment.rs
+++ b/crates/sesamecart-groups/src/assignment.rs
@@ -1,43 +1,43 @@
-//! Which VM belongs to which group, as the fold of the log has it.
+//! The assignment of VMs to groups, as folded from the log.
 
 use derive_more::Display;
 use indexmap::{IndexMap, IndexSet};
 use sesamecart_fold::Record;
 use sesamecart_vocabulary::{Epoch, Generation, GroupId, VmId};
 
-/// A change of a group's members or version, to be appended to the log.
+/// A change to a group's members or version, to be appended to the log.
 ///
-/// The fold accepts it only under the epoch in force of the group's shard, so that the request of an
-/// earlier owner that was paused changes nothing. A request that is appended twice after a lost
-/// answer has no second effect: the generation is past, or the VM is no member any more.
+/// The fold accepts it only under the current epoch of the group's shard, so that a request of a previous
+/// owner that was paused has no effect. A request that is appended twice after a lost response has no second
+/// effect: its generation is no longer new, or the VM is no longer a member.
 #[derive(Clone, Debug, Display, Eq, Hash, PartialEq)]
 pub enum AssignmentRequest {
-    /// The group gets these members; those that are new must be free.
+    /// Sets the group's members. VMs that it doesn't have yet must be free.
     #[display("assign {} VMs to {group} in generation {generation}", vms.len())]
     Assign {
         /// The group.
         group: GroupId,
-        /// All members, also those that it keeps.
+        /// All members, including those that it keeps.
         vms: Vec<VmId>,
         /// The new generation.
         generation: Generation,
-        /// The version of the model that it runs.
+        /// The version of the model that the group runs.
         version: String,
     },
-    /// A member becomes free.
+    /// Frees a member.
     #[display("unassign {vm} from {group} in generation {generation}")]
     Unassign {
         /// The VM.
         vm: VmId,
         /// The group.
         group: GroupId,
-        /// The generation that is meant.
+        /// The generation that the request applies to.
         generation: Generation,
     },
 }
 
 impl AssignmentRequest {
-    /// Returns the group that is changed.
+    /// Returns the group that the request changes.
     #[must_use]
     pub fn group(&self) -> &GroupId {
         match self {
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Makes the record that is appended under a shard's epoch.
+    /// Converts the request to the record that is appended under a shard's epoch.
     #[must_use]
     pub fn into_record(self, shard_epoch: Epoch) -> Record {
         match self {
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Returns whether the request would make a VM a member.
+    /// Returns whether the request would make `vm` a member.
     #[must_use]
     pub fn assigns(&self, vm: &VmId) -> bool {
         match self {
@@ -84,18 +84,18 @@
     }
 }
 
-/// A group as the fold has it.
+/// The folded state of one group.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct AssignedGroup {
     /// The newest generation.
     pub generation: Generation,
-    /// The version of its model, empty where no record says it.
+    /// The version of its model; empty if no record specifies it.
     pub version: String,
     /// Its members.
     pub members: IndexSet<VmId>,
 }
 
-/// All groups' members, the same on every node that has read the log this far.
+/// The members of all groups. Nodes that have read the log up to the same offset have equal assignments.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Assignments {
     groups: IndexMap<GroupId, AssignedGroup>,
@@ -103,7 +103,7 @@
 }
 
 impl Assignments {
-    /// Makes a picture of the fold's groups.
+    /// Creates the assignments from the folded groups.
     #[must_use]
     pub fn new(groups: IndexMap<GroupId, AssignedGroup>) -> Self {
         let owner = |(group, assigned): (&GroupId, &AssignedGroup)| {
@@ -115,13 +115,13 @@
         Self { groups, owners }
     }
 
-    /// Returns a group that was assigned at least once.
+    /// Returns the state of a group, if it was ever assigned.
     #[must_use]
     pub fn group(&self, group: &GroupId) -> Option<&AssignedGroup> {
         self.groups.get(group)
     }
 
-    /// Returns a group's generation, zero before its first assignment.
+    /// Returns a group's generation, or zero before its first assignment.
     #[must_use]
     pub fn generation(&self, group: &GroupId) -> Generation {
         let assigned = self.groups.get(group);
@@ -139,7 +139,7 @@
         self.groups.iter()
     }
 
-    /// Returns whether a request has had its effect, or can have none any more.
+    /// Returns whether a request has taken effect or can no longer take effect.
     #[must_use]
     pub fn has_settled(&self, request: &AssignmentRequest) -> bool {
         match request {
--- a/crates/sesamecart-groups/src/controller/event.rs
+++ b/crates/sesamecart-groups/src/controller/event.rs
@@ -1,4 +1,4 @@
-//! What a controller is told and what it wants done.
+//! The inputs and outputs of a controller.
 
 use std::sync::Arc;
 
@@ -10,36 +10,36 @@
 use crate::order::{FencedOrder, OrderAnswer};
 use crate::state::{GroupReport, Routability};
 
-/// A VM's state in the platform's list, which lags.
+/// A VM's state in the platform's list, which may be outdated.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum VmState {
-    /// It runs.
+    /// The VM is running.
     Live,
-    /// It will go soon.
+    /// The VM is about to be removed.
     Leaving,
 }
 
-/// What a controller is told.
+/// An input of a controller.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Another configuration is in force.
+    /// Another configuration was applied.
     Fleet(Arc<Fleet>),
-    /// The fold has gone on.
+    /// The folded assignments have changed.
     Assignments(Arc<Assignments>),
     /// The fold has rejected a request.
     Rejected(AssignmentRequest),
-    /// The platform's list of VMs; one that isn't in it is gone.
+    /// The platform's list of VMs. A VM that isn't listed is gone.
     VmList(IndexMap<VmId, VmState>),
-    /// A group's front has answered.
+    /// A group's endpoint has reported its state.
     Report(GroupReport),
-    /// An order's answer came, or none within its time.
+    /// The endpoint has responded to an order, or the order timed out.
     OrderAnswered {
-        /// The group whose endpoint was ordered.
+        /// The group whose endpoint received the order.
         group: GroupId,
-        /// What became of the order.
+        /// The outcome of the order.
         answer: OrderAnswer,
     },
-    /// A load has gone on.
+    /// A load has made progress.
     LoadProgress {
         /// The group that waits for it.
         group: GroupId,
@@ -47,42 +47,42 @@
         vm: VmId,
         /// The version that it loads.
         version: String,
-        /// What is left.
+        /// The bytes still to load.
         remaining: Bytes,
     },
-    /// A VM didn't take its load.
+    /// A VM didn't accept its load.
     LoadFailed {
         /// The group that waits for it.
         group: GroupId,
         /// The VM.
         vm: VmId,
     },
-    /// What the weight store gives in a second to the groups controlled here. All owners share the
-    /// store, so this falls when it refuses and rises again while it doesn't.
+    /// The bytes per second that the groups controlled by this node may load from the weight store. All owners
+    /// share the store, so the rate is lowered when the store refuses loads and raised while it doesn't.
     StoreRate(Bytes),
-    /// The failure domains that operators have taken out.
+    /// The failure domains that operators have drained.
     Drained(IndexSet<FailureDomainId>),
-    /// The node holds a shard under a new epoch.
+    /// This node holds a shard under a new epoch.
     EpochGained {
         /// The shard.
         shard: ShardId,
         /// The epoch.
         epoch: Epoch,
     },
-    /// The node doesn't hold a shard any more.
+    /// This node no longer holds a shard.
     EpochLost(ShardId),
-    /// Time has passed.
+    /// Periodic tick, on which the controller plans and acts.
     Tick,
 }
 
-/// What a controller wants done.
+/// An action that the node carries out for a controller.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Effect {
-    /// Append a change of a group to the log.
+    /// Append a change to a group to the log.
     Append(AssignmentRequest),
     /// Send an order to a group's endpoint.
     Order(FencedOrder),
-    /// Start or go on with a load at this rate; zero pauses it.
+    /// Start or continue a load at this rate. A rate of zero pauses it.
     Load {
         /// The group that waits for it.
         group: GroupId,
@@ -92,14 +92,14 @@
         model: ModelId,
         /// The version.
         version: String,
-        /// Bytes in a second.
+        /// Bytes per second.
         bytes_per_s: Bytes,
     },
-    /// Publish whether a group may be given work.
+    /// Publish whether work may be sent to a group.
     Publish {
         /// The group.
         group: GroupId,
-        /// Whether it may.
+        /// Whether work may be sent to it.
         routability: Routability,
     },
 }
--- a/crates/sesamecart-groups/src/controller/group.rs
+++ b/crates/sesamecart-groups/src/controller/group.rs
@@ -1,4 +1,4 @@
-//! One group under control.
+//! The state of one controlled group.
 
 use indexmap::{IndexMap, IndexSet};
 use sesamecart_vocabulary::{
@@ -9,37 +9,37 @@
 
 use crate::assignment::AssignedGroup;
 use crate::fleet::ModelPlan;
-use crate::order::OrderDesk;
+use crate::order::OrderSequencer;
 use crate::repair::Repair;
 use crate::settings::GroupSettings;
 use crate::state::{GroupReport, NotRoutable, Routability, assess};
 
-/// How far a group is.
+/// The phase of a group.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum GroupPhase {
-    /// It serves.
+    /// The group is serving.
     Serving,
-    /// It has all of its VMs and loads or starts.
+    /// It has all of its VMs and is loading weights or starting.
     Recovering,
-    /// It lacks VMs.
+    /// It has too few usable VMs.
     #[default]
-    Out,
+    Incomplete,
 }
 
-/// A change that is prepared while the group still serves.
+/// A change that is prepared while the group is still serving.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(super) enum Preparation {
-    /// Spares load, to take the place of VMs that leave.
+    /// Spares load the weights to replace VMs that are leaving.
     Replacement(Repair),
-    /// All members load another version.
+    /// All members load the given version.
     Version(String),
 }
 
-/// A load that a group waits for.
+/// A load of weights by one VM for a group.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Load {
     pub(super) version: String,
-    /// What is left, once the store has said so.
+    /// The bytes still to load, once the store has reported them.
     pub(super) remaining: Option<Bytes>,
     pub(super) granted: Bytes,
 }
@@ -50,55 +50,55 @@
     }
 }
 
-/// What the controller knows about one group.
+/// The controller's state of one group.
 #[derive(Debug, Default)]
 pub(super) struct GroupControl {
-    pub(super) desk: OrderDesk,
+    pub(super) sequencer: OrderSequencer,
     pub(super) report: Option<GroupReport>,
-    /// Since when this controller has the group.
-    pub(super) since: Timestamp,
+    /// Since when this controller has controlled the group.
+    pub(super) controlled_since: Timestamp,
     /// Since when each member has been missing from reports.
     pub(super) unseen: IndexMap<VmId, Timestamp>,
     pub(super) loads: IndexMap<VmId, Load>,
     pub(super) preparation: Option<Preparation>,
-    /// Since when the engine of the current generation hasn't been ready.
-    pub(super) out_since: Option<Timestamp>,
-    /// The last start order, and when it was sent.
-    pub(super) ordered: Option<StartOrder>,
-    /// No order before this time: a serving group was taken apart for this one.
-    pub(super) hold_until: Timestamp,
+    /// Since when the group hasn't been routable.
+    pub(super) unavailable_since: Option<Timestamp>,
+    /// The last start order.
+    pub(super) start_order: Option<StartOrder>,
+    /// The earliest time for a start order, set when a serving group was preempted for this one.
+    pub(super) start_not_before: Timestamp,
     pub(super) adapters: Adapters,
     pub(super) published: Option<Routability>,
     pub(super) phase: GroupPhase,
-    /// When routability was last decided.
-    pub(super) decided_at: Option<Timestamp>,
+    /// When routability was last assessed.
+    pub(super) assessed_at: Option<Timestamp>,
 }
 
 /// A start order that was sent.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct StartOrder {
     pub(super) generation: Generation,
-    pub(super) at: Timestamp,
+    pub(super) sent_at: Timestamp,
 }
 
-/// The adapters that one life of an engine was told to load.
+/// The adapters that one incarnation of an engine was ordered to load.
 #[derive(Debug, Default)]
 pub(super) struct Adapters {
     pub(super) incarnation: Incarnation,
     pub(super) ordered: IndexSet<AdapterId>,
-    /// Whether none is left to be ordered.
-    pub(super) told_all: bool,
+    /// Whether all adapters of the model were ordered.
+    pub(super) all_ordered: bool,
 }
 
 impl GroupControl {
-    /// Takes in a report; an older one than the last is dropped.
-    pub(super) fn take_report(&mut self, report: GroupReport, members: &IndexSet<VmId>) {
+    /// Records a report unless it is older than the last one.
+    pub(super) fn record_report(&mut self, report: GroupReport, members: &IndexSet<VmId>) {
         if let Some(last) = &self.report
             && report.asked_at < last.asked_at
         {
             return;
         }
-        self.desk.state_read(report.asked_at);
+        self.sequencer.record_state_read(report.asked_at);
         for vm in members {
             if report.members.contains_key(vm) {
                 self.unseen.swap_remove(vm);
@@ -110,14 +110,14 @@
         self.report = Some(report);
     }
 
-    /// Returns the members that a report has missed for longer than the patience.
-    pub(super) fn unseen_for(&self, settings: &GroupSettings, now: Timestamp) -> Vec<VmId> {
-        let late = |since: &Timestamp| now.since(*since) >= settings.patience;
-        let unseen = self.unseen.iter().filter(|(_, since)| late(since));
+    /// Returns the members that have been missing from reports for the grace period.
+    pub(super) fn unseen_members(&self, settings: &GroupSettings, now: Timestamp) -> Vec<VmId> {
+        let is_overdue = |since: &Timestamp| now.since(*since) >= settings.grace_period;
+        let unseen = self.unseen.iter().filter(|(_, since)| is_overdue(since));
         unseen.map(|(vm, _)| vm.clone()).collect()
     }
 
-    /// Decides whether the group may be given work and notes since when it may not.
+    /// Decides whether work may be sent to the group and records since when it may not.
     pub(super) fn assess(
         &mut self,
         assigned: &AssignedGroup,
@@ -130,17 +130,17 @@
         let report = self.report.as_ref();
         let routability = assess(assigned, size, report, lost, now, settings.validity);
         if routability.is_routable(now) {
-            self.out_since = None;
-            self.ordered = None;
+            self.unavailable_since = None;
+            self.start_order = None;
         } else {
-            self.out_since.get_or_insert(now);
+            self.unavailable_since.get_or_insert(now);
         }
         routability
     }
 
-    /// Returns the routability if it differs in kind from what was published last.
-    pub(super) fn take_change(&mut self, routability: Routability) -> Option<Routability> {
-        let same = match (&self.published, &routability) {
+    /// Stores the routability and returns it if it differs from the last one by more than its expiry.
+    pub(super) fn update_published(&mut self, routability: Routability) -> Option<Routability> {
+        let is_same = match (&self.published, &routability) {
             (
                 Some(Routability::Routable {
                     generation: a,
@@ -157,38 +157,39 @@
             _ => false,
         };
         self.published = Some(routability.clone());
-        (!same).then_some(routability)
+        (!is_same).then_some(routability)
     }
 
-    /// Notes the phase that follows from the last decision.
+    /// Updates the phase from the last published routability.
     pub(super) fn update_phase(&mut self, usable: usize, size: usize) {
         self.phase = match &self.published {
             Some(Routability::Routable { .. }) => GroupPhase::Serving,
             Some(Routability::Not(NotRoutable::Lost(_) | NotRoutable::Missing(_))) => {
-                GroupPhase::Out
+                GroupPhase::Incomplete
             }
-            Some(Routability::Not(_)) if usable < size => GroupPhase::Out,
+            Some(Routability::Not(_)) if usable < size => GroupPhase::Incomplete,
             Some(Routability::Not(_)) | None => GroupPhase::Recovering,
         };
     }
 
-    /// Returns whether the engine must be told to start the assigned generation.
+    /// Returns whether the engine must be ordered to start the assigned generation.
     ///
-    /// An engine of the current generation that isn't ready is left alone for the patience: it may
-    /// only have paused, and a start would make it load what it still holds.
+    /// An engine of the current generation that isn't ready gets no order during the grace period: it may only
+    /// be paused, and a start would make it reload weights that it still has.
     pub(super) fn needs_start(
         &self,
         assigned: &AssignedGroup,
         settings: &GroupSettings,
         now: Timestamp,
     ) -> bool {
-        if now < self.hold_until {
+        if now < self.start_not_before {
             return false;
         }
-        let ordered = self.ordered.is_some_and(|order| {
-            order.generation == assigned.generation && now.since(order.at) < settings.start_timeout
+        let is_ordered = self.start_order.is_some_and(|order| {
+            order.generation == assigned.generation
+                && now.since(order.sent_at) < settings.start_timeout
         });
-        if ordered {
+        if is_ordered {
             return false;
         }
         let Some(report) = &self.report else {
@@ -197,20 +198,20 @@
         if report.generation != assigned.generation {
             return true;
         }
-        self.out_since
-            .is_some_and(|since| now.since(since) >= settings.patience)
+        self.unavailable_since
+            .is_some_and(|since| now.since(since) >= settings.grace_period)
     }
 
-    /// Returns the generation in which the engine already serves with these members, if it does.
-    pub(super) fn serving_generation(&self, members: &IndexSet<VmId>) -> Option<Generation> {
+    /// Returns the generation in which the engine is already serving with these members, if it is.
+    pub(super) fn find_serving_generation(&self, members: &IndexSet<VmId>) -> Option<Generation> {
         let report = self.report.as_ref()?;
         let is_ready = |vm| report.members.get(vm).is_some_and(|member| member.ready);
-        let same = report.members.len() == members.len() && members.iter().all(is_ready);
-        (report.ready && same).then_some(report.generation)
+        let is_same = report.members.len() == members.len() && members.iter().all(is_ready);
+        (report.ready && is_same).then_some(report.generation)
     }
 
-    /// Returns whether the engine still serves an older generation with the same members.
-    pub(super) fn same_members(&self, assigned: &AssignedGroup) -> bool {
+    /// Returns whether the engine is still serving with the same members, for example in an older generation.
+    pub(super) fn has_same_members(&self, assigned: &AssignedGroup) -> bool {
         self.report.as_ref().is_some_and(|report| {
             report.ready
                 && report.members.len() == assigned.members.len()
@@ -221,8 +222,8 @@
         })
     }
 
-    /// Drops a load, and stops it if it still runs: one that nobody counts any more would use up
-    /// rate that other loads are granted.
+    /// Removes a load and stops it if it has been granted a rate. A load that is no longer tracked would use
+    /// bandwidth that has been granted to other loads.
     pub(super) fn drop_load(
         &mut self,
         group: &GroupId,
--- a/crates/sesamecart-groups/src/controller/loading.rs
+++ b/crates/sesamecart-groups/src/controller/loading.rs
@@ -1,10 +1,10 @@
-//! Which VM loads what, and how fast.
+//! Determines the loads of each VM and their rates.
 
 use sesamecart_vocabulary::{Bytes, GroupId, Timestamp, VmId};
 
 use super::group::{Load, Preparation};
 use super::{Controller, Effect, GroupPhase};
-use crate::weights::{LoadRequest, allot};
+use crate::weights::{LoadRequest, allocate_rates};
 
 /// A load that a group should have.
 struct WantedLoad {
@@ -13,22 +13,22 @@
 }
 
 impl Controller {
-    pub(super) fn share_rate(&mut self, active: &[GroupId], effects: &mut Vec<Effect>) {
+    pub(super) fn allocate_load_rates(&mut self, active: &[GroupId], effects: &mut Vec<Effect>) {
         let mut requests = Vec::new();
         for group in active {
             let wanted = self.wanted_loads(group);
             self.sync_loads(group, &wanted, effects);
             if !wanted.is_empty() {
-                self.request_rates(group, &mut requests);
+                self.collect_load_requests(group, &mut requests);
             }
         }
         if requests.is_empty() {
             return;
         }
-        self.grant(&requests, effects);
+        self.grant_rates(&requests, effects);
     }
 
-    /// Returns what the members, or the spares being prepared, should hold.
+    /// Returns the weights that the members, or the spares being prepared, should have loaded.
     fn wanted_loads(&self, group: &GroupId) -> Vec<WantedLoad> {
         let (Some(control), Some(assigned)) =
             (self.groups.get(group), self.assignments.group(group))
@@ -45,7 +45,7 @@
         }
         match &control.preparation {
             Some(Preparation::Replacement(repair)) => {
-                let spares = repair.adopt.iter();
+                let spares = repair.acquire.iter();
                 spares
                     .map(|spare| load(&spare.vm, &assigned.version))
                     .collect()
@@ -59,9 +59,10 @@
         }
     }
 
-    /// Drops loads that nobody waits for and asks the store what is left of new ones.
+    /// Drops loads that are no longer wanted and starts new ones at a rate of zero, to learn from the store how
+    /// many bytes remain.
     fn sync_loads(&mut self, group: &GroupId, wanted: &[WantedLoad], effects: &mut Vec<Effect>) {
-        let Some((plan, _)) = self.plan_and_model(group) else {
+        let Some((plan, _)) = self.group_and_model(group) else {
             return;
         };
         let model = plan.model.clone();
@@ -81,29 +82,29 @@
         for vm in &stopped {
             effects.extend(control.drop_load(group, vm, &model));
         }
-        for want in wanted {
-            if control.loads.contains_key(&want.vm) {
+        for wanted_load in wanted {
+            if control.loads.contains_key(&wanted_load.vm) {
                 continue;
             }
             let load = Load {
-                version: want.version.clone(),
+                version: wanted_load.version.clone(),
                 remaining: None,
                 granted: Bytes(0),
             };
-            control.loads.insert(want.vm.clone(), load);
+            control.loads.insert(wanted_load.vm.clone(), load);
             effects.push(Effect::Load {
                 group: group.clone(),
-                vm: want.vm.clone(),
+                vm: wanted_load.vm.clone(),
                 model: model.clone(),
-                version: want.version.clone(),
+                version: wanted_load.version.clone(),
                 bytes_per_s: Bytes(0),
             });
         }
     }
 
-    fn request_rates(&self, group: &GroupId, requests: &mut Vec<LoadRequest>) {
+    fn collect_load_requests(&self, group: &GroupId, requests: &mut Vec<LoadRequest>) {
         let (Some((_, model)), Some(control)) =
-            (self.plan_and_model(group), self.groups.get(group))
+            (self.group_and_model(group), self.groups.get(group))
         else {
             return;
         };
@@ -119,8 +120,8 @@
         }
     }
 
-    fn grant(&mut self, requests: &[LoadRequest], effects: &mut Vec<Effect>) {
-        let grants = allot(requests, self.settings.store_rate, self.settings.vm_rate);
+    fn grant_rates(&mut self, requests: &[LoadRequest], effects: &mut Vec<Effect>) {
+        let grants = allocate_rates(requests, self.settings.store_rate, self.settings.vm_rate);
         for request in requests {
             let granted = grants
                 .iter()
@@ -152,7 +153,7 @@
         }
     }
 
-    pub(super) fn take_progress(
+    pub(super) fn on_load_progress(
         &mut self,
         group: &GroupId,
         vm: &VmId,
@@ -170,11 +171,11 @@
         }
     }
 
-    pub(super) fn take_failure(&mut self, group: &GroupId, vm: &VmId, now: Timestamp) {
+    pub(super) fn on_load_failed(&mut self, group: &GroupId, vm: &VmId, now: Timestamp) {
         if let Some(control) = self.groups.get_mut(group) {
             control.loads.swap_remove(vm);
         }
-        self.suspects
-            .insert(vm.clone(), now + self.settings.suspect_for);
+        self.suspect_vms
+            .insert(vm.clone(), now + self.settings.suspect_duration);
     }
 }
--- a/crates/sesamecart-groups/src/controller/mod.rs
+++ b/crates/sesamecart-groups/src/controller/mod.rs
@@ -1,4 +1,4 @@
-//! The controller of serving groups: events in, effects out.
+//! The controller of serving groups, a state machine that turns events into effects.
 
 mod event;
 mod group;
@@ -26,33 +26,33 @@
 
 /// Controls the groups of the shards that this node holds.
 ///
-/// One controller sees all groups of a fabric domain, because their shard is the fabric domain's.
-/// It acts only on a [`Event::Tick`]; other events are taken in, and at most make a group not
-/// routable at once.
+/// One controller manages all groups of a fabric domain, because there is one shard per fabric domain. It plans
+/// changes, sends orders and allocates load rates only on an [`Event::Tick`]. Other events update its state,
+/// publish changed routability and stop loads that are no longer needed.
 #[derive(Debug)]
 pub struct Controller {
     settings: GroupSettings,
     fleet: Arc<Fleet>,
     assignments: Arc<Assignments>,
-    listed: Option<IndexMap<VmId, VmState>>,
-    /// The VMs that the list calls leaving.
+    vm_list: Option<IndexMap<VmId, VmState>>,
+    /// The VMs that the VM list shows as leaving.
     leaving: IndexSet<VmId>,
-    suspects: IndexMap<VmId, Timestamp>,
-    drained: IndexSet<FailureDomainId>,
+    suspect_vms: IndexMap<VmId, Timestamp>,
+    drained_domains: IndexSet<FailureDomainId>,
     epochs: IndexMap<ShardId, Epoch>,
     highest_epochs: IndexMap<ShardId, Epoch>,
     groups: IndexMap<GroupId, GroupControl>,
     fabrics: IndexMap<FabricDomainId, Fabric>,
     pending: IndexMap<AssignmentRequest, Timestamp>,
     /// The number of configured replicas of each model.
-    replicas: IndexMap<ModelId, u64>,
-    /// Whether the fleet or the assignments changed since the two were last compared.
-    compare: bool,
-    /// The models of which a controlled group runs another version than wanted.
-    behind: IndexMap<ModelId, String>,
+    replica_counts: IndexMap<ModelId, u64>,
+    /// Whether the fleet and the assignments must be compared in the next planning round.
+    needs_reconciliation: bool,
+    /// The target version of each model of which a controlled group runs another version.
+    outdated_models: IndexMap<ModelId, String>,
 }
 
-/// The groups and VMs of a fabric domain whose shard is held.
+/// The groups and VMs of a fabric domain whose shard this node holds.
 #[derive(Debug, Default)]
 struct Fabric {
     groups: Vec<GroupId>,
@@ -60,29 +60,29 @@
 }
 
 impl Controller {
-    /// Makes a controller that holds no shard yet.
+    /// Creates a controller that holds no shard.
     #[must_use]
     pub fn new(settings: GroupSettings) -> Self {
         Self {
             settings,
             fleet: Arc::default(),
             assignments: Arc::default(),
-            listed: None,
+            vm_list: None,
             leaving: IndexSet::new(),
-            suspects: IndexMap::new(),
-            drained: IndexSet::new(),
+            suspect_vms: IndexMap::new(),
+            drained_domains: IndexSet::new(),
             epochs: IndexMap::new(),
             highest_epochs: IndexMap::new(),
             groups: IndexMap::new(),
             fabrics: IndexMap::new(),
             pending: IndexMap::new(),
-            replicas: IndexMap::new(),
-            compare: true,
-            behind: IndexMap::new(),
+            replica_counts: IndexMap::new(),
+            needs_reconciliation: true,
+            outdated_models: IndexMap::new(),
         }
     }
 
-    /// Takes in an event and returns what is to be done.
+    /// Handles an event and returns the effects to execute.
     pub fn handle(&mut self, event: Event, now: Timestamp) -> Vec<Effect> {
         let mut effects = Vec::new();
         match event {
@@ -90,40 +90,38 @@
                 self.fleet = fleet;
                 self.sync_groups(now);
             }
-            Event::Assignments(assignments) => {
-                self.take_assignments(assignments, now, &mut effects)
-            }
+            Event::Assignments(assignments) => self.on_assignments(assignments, now, &mut effects),
             Event::Rejected(request) => {
                 self.pending.shift_remove(&request);
             }
-            Event::VmList(list) => self.take_list(list, now, &mut effects),
-            Event::Report(report) => self.take_report(report, now, &mut effects),
-            Event::OrderAnswered { group, answer } => self.take_answer(&group, answer),
+            Event::VmList(list) => self.on_vm_list(list, now, &mut effects),
+            Event::Report(report) => self.on_report(report, now, &mut effects),
+            Event::OrderAnswered { group, answer } => self.on_order_answer(&group, answer),
             Event::LoadProgress {
                 group,
                 vm,
                 version,
                 remaining,
             } => {
-                self.take_progress(&group, &vm, &version, remaining);
+                self.on_load_progress(&group, &vm, &version, remaining);
             }
-            Event::LoadFailed { group, vm } => self.take_failure(&group, &vm, now),
+            Event::LoadFailed { group, vm } => self.on_load_failed(&group, &vm, now),
             Event::StoreRate(rate) => self.settings.store_rate = rate,
-            Event::Drained(drained) => self.drained = drained,
-            Event::EpochGained { shard, epoch } => self.gain(shard, epoch, now),
-            Event::EpochLost(shard) => self.lose(shard),
+            Event::Drained(drained) => self.drained_domains = drained,
+            Event::EpochGained { shard, epoch } => self.on_epoch_gained(shard, epoch, now),
+            Event::EpochLost(shard) => self.on_epoch_lost(shard),
             Event::Tick => self.tick(now, &mut effects),
         }
         effects
     }
 
-    /// Returns whether a group may be given work; nothing for a group that isn't controlled here.
+    /// Returns whether work may be sent to a group, or `None` for a group that isn't controlled by this node.
     #[must_use]
     pub fn routability(&self, group: &GroupId) -> Option<&Routability> {
         self.groups.get(group)?.published.as_ref()
     }
 
-    /// Returns how far each controlled group is.
+    /// Returns the phase of each controlled group.
     pub fn phases(&self) -> impl Iterator<Item = (&GroupId, GroupPhase)> {
         self.groups
             .iter()
@@ -131,52 +129,54 @@
     }
 
     fn tick(&mut self, now: Timestamp, effects: &mut Vec<Effect>) {
-        self.expire(now);
+        self.expire_timeouts(now);
         self.suspect_unseen(now, effects);
         self.publish_all(now, effects);
         self.plan(now, effects);
         let active = self.active_groups();
-        self.share_rate(&active, effects);
+        self.allocate_load_rates(&active, effects);
         self.send_orders(&active, now, effects);
     }
 
-    /// Returns the groups that may need loads or orders; on a quiet day there are none.
+    /// Returns the groups that may need loads or orders. There are none while all groups serve unchanged.
     fn active_groups(&self) -> Vec<GroupId> {
         let is_active = |control: &GroupControl| {
             control.phase != GroupPhase::Serving
                 || control.preparation.is_some()
                 || !control.loads.is_empty()
-                || !control.adapters.told_all
+                || !control.adapters.all_ordered
         };
         let active = self.groups.iter().filter(|(_, control)| is_active(control));
         active.map(|(group, _)| group.clone()).collect()
     }
 
-    fn expire(&mut self, now: Timestamp) {
+    fn expire_timeouts(&mut self, now: Timestamp) {
         let append_timeout = self.settings.append_timeout;
         self.pending
             .retain(|_, since| now.since(*since) < append_timeout);
-        self.suspects.retain(|_, until| now < *until);
+        self.suspect_vms.retain(|_, until| now < *until);
         for control in self.groups.values_mut() {
-            control.desk.expire(self.settings.longest_order, now);
+            control
+                .sequencer
+                .expire_in_flight(self.settings.max_order_latency, now);
         }
     }
 
     fn suspect_unseen(&mut self, now: Timestamp, effects: &mut Vec<Effect>) {
-        let until = now + self.settings.suspect_for;
+        let until = now + self.settings.suspect_duration;
         for (group, control) in &mut self.groups {
-            for vm in control.unseen_for(&self.settings, now) {
+            for vm in control.unseen_members(&self.settings, now) {
                 control.unseen.swap_remove(&vm);
-                control.decided_at = None;
+                control.assessed_at = None;
                 if let Some(plan) = self.fleet.groups.get(group) {
                     effects.extend(control.drop_load(group, &vm, &plan.model));
                 }
-                self.suspects.insert(vm, until);
+                self.suspect_vms.insert(vm, until);
             }
         }
     }
 
-    fn take_assignments(
+    fn on_assignments(
         &mut self,
         assignments: Arc<Assignments>,
         now: Timestamp,
@@ -186,18 +186,18 @@
         let assignments = &self.assignments;
         self.pending
             .retain(|request, _| !assignments.has_settled(request));
-        self.forget_decisions();
+        self.invalidate_assessments();
         self.publish_all(now, effects);
     }
 
-    /// Makes sure that all groups are decided on anew, since what the decisions rest on has changed.
-    fn forget_decisions(&mut self) {
+    /// Marks all groups to be assessed again because their inputs have changed.
+    fn invalidate_assessments(&mut self) {
         for control in self.groups.values_mut() {
-            control.decided_at = None;
+            control.assessed_at = None;
         }
     }
 
-    fn take_list(
+    fn on_vm_list(
         &mut self,
         list: IndexMap<VmId, VmState>,
         now: Timestamp,
@@ -207,51 +207,51 @@
             let Some(plan) = self.fleet.groups.get(group) else {
                 continue;
             };
-            let gone = control.loads.keys().filter(|vm| !list.contains_key(*vm));
-            let gone: Vec<VmId> = gone.cloned().collect();
-            for vm in &gone {
+            let unlisted = control.loads.keys().filter(|vm| !list.contains_key(*vm));
+            let unlisted: Vec<VmId> = unlisted.cloned().collect();
+            for vm in &unlisted {
                 effects.extend(control.drop_load(group, vm, &plan.model));
             }
         }
-        if self.listed.as_ref() == Some(&list) {
+        if self.vm_list.as_ref() == Some(&list) {
             return;
         }
         let leaving = list.iter().filter(|(_, state)| **state == VmState::Leaving);
         self.leaving = leaving.map(|(vm, _)| vm.clone()).collect();
-        self.listed = Some(list);
-        self.forget_decisions();
+        self.vm_list = Some(list);
+        self.invalidate_assessments();
         self.publish_all(now, effects);
     }
 
-    fn take_report(&mut self, report: GroupReport, now: Timestamp, effects: &mut Vec<Effect>) {
+    fn on_report(&mut self, report: GroupReport, now: Timestamp, effects: &mut Vec<Effect>) {
         let group = report.group.clone();
         let Some(control) = self.groups.get_mut(&group) else {
             return;
         };
         for vm in report.members.keys() {
-            self.suspects.swap_remove(vm);
+            self.suspect_vms.swap_remove(vm);
         }
-        // Members of another generation say nothing about those that are assigned now.
+        // The members of another generation don't show which currently assigned VMs are missing.
         let no_members = IndexSet::new();
         let members = match self.assignments.group(&group) {
             Some(assigned) if assigned.generation == report.generation => &assigned.members,
             _ => &no_members,
         };
-        control.take_report(report, members);
+        control.record_report(report, members);
         self.publish(&group, now, effects);
     }
 
-    fn take_answer(&mut self, group: &GroupId, answer: OrderAnswer) {
+    fn on_order_answer(&mut self, group: &GroupId, answer: OrderAnswer) {
         let Some(control) = self.groups.get_mut(group) else {
             return;
         };
-        control.desk.answered(answer);
+        control.sequencer.record_answer(answer);
         if answer != OrderAnswer::Taken {
-            control.ordered = None;
+            control.start_order = None;
         }
     }
 
-    fn gain(&mut self, shard: ShardId, epoch: Epoch, now: Timestamp) {
+    fn on_epoch_gained(&mut self, shard: ShardId, epoch: Epoch, now: Timestamp) {
         if self
             .highest_epochs
             .get(&shard)
@@ -264,7 +264,7 @@
         self.sync_groups(now);
     }
 
-    fn lose(&mut self, shard: ShardId) {
+    fn on_epoch_lost(&mut self, shard: ShardId) {
         self.epochs.swap_remove(&shard);
         let fleet = &self.fleet;
         self.groups.retain(|group, _| {
@@ -277,16 +277,16 @@
             .retain(|fabric, _| ShardId::of(fabric.as_str()) != shard);
     }
 
-    /// Makes the controlled groups those of the fleet whose shard is held.
+    /// Updates the controlled groups to those of the fleet whose shard is held.
     fn sync_groups(&mut self, now: Timestamp) {
         let fleet = Arc::clone(&self.fleet);
         self.groups
             .retain(|group, _| fleet.groups.contains_key(group));
-        self.compare = true;
+        self.needs_reconciliation = true;
         self.fabrics.clear();
-        self.replicas.clear();
+        self.replica_counts.clear();
         for (group, plan) in &fleet.groups {
-            *self.replicas.entry(plan.model.clone()).or_default() += 1;
+            *self.replica_counts.entry(plan.model.clone()).or_default() += 1;
             let Some(epoch) = self.epochs.get(&plan.shard()) else {
                 continue;
             };
@@ -294,11 +294,13 @@
                 .groups
                 .entry(group.clone())
                 .or_insert_with(|| GroupControl {
-                    since: now,
+                    controlled_since: now,
                     ..GroupControl::default()
                 });
-            let longest = self.settings.longest_order;
-            control.desk.gain(*epoch, plan.checks_epoch, longest, now);
+            let max_latency = self.settings.max_order_latency;
+            control
+                .sequencer
+                .acquire_epoch(*epoch, plan.checks_epoch, max_latency, now);
             let fabric = self.fabrics.entry(plan.fabric_domain.clone()).or_default();
             fabric.groups.push(group.clone());
         }
@@ -309,13 +311,13 @@
         }
     }
 
-    /// Decides on all groups that weren't decided on at this very moment.
+    /// Assesses all groups that haven't been assessed at `now` and publishes changes.
     fn publish_all(&mut self, now: Timestamp, effects: &mut Vec<Effect>) {
-        let open = self
+        let outdated = self
             .groups
             .iter()
-            .filter(|(_, control)| control.decided_at != Some(now));
-        let groups: Vec<GroupId> = open.map(|(group, _)| group.clone()).collect();
+            .filter(|(_, control)| control.assessed_at != Some(now));
+        let groups: Vec<GroupId> = outdated.map(|(group, _)| group.clone()).collect();
         for group in &groups {
             self.publish(group, now, effects);
         }
@@ -340,8 +342,8 @@
         };
         let routability = control.assess(assigned, model, &lost, &self.settings, now);
         let usable = assigned.members.len() - lost.len();
-        let change = control.take_change(routability);
-        control.decided_at = Some(now);
+        let change = control.update_published(routability);
+        control.assessed_at = Some(now);
         control.update_phase(usable, model.vms_per_group);
         if let Some(routability) = change {
             effects.push(Effect::Publish {
@@ -351,13 +353,14 @@
         }
     }
 
-    /// Says whether a VM is known not to work: gone from the list, or unseen for the patience.
+    /// Returns whether a VM is known to have failed: it isn't in the VM list any more, its load failed, or
+    /// reports missed it for the grace period.
     fn is_lost(&self, vm: &VmId) -> bool {
-        let gone = self
-            .listed
+        let unlisted = self
+            .vm_list
             .as_ref()
             .is_some_and(|list| !list.contains_key(vm));
-        gone || self.suspects.contains_key(vm)
+        unlisted || self.suspect_vms.contains_key(vm)
     }
 
     fn is_leaving(&self, vm: &VmId) -> bool {
@@ -366,14 +369,14 @@
 
     fn is_drained(&self, vm: &VmId) -> bool {
         let place = self.fleet.vms.get(vm);
-        place.is_some_and(|place| self.drained.contains(&place.failure_domain))
+        place.is_some_and(|place| self.drained_domains.contains(&place.failure_domain))
     }
 
     fn phase(&self, group: &GroupId) -> Option<GroupPhase> {
         Some(self.groups.get(group)?.phase)
     }
 
-    fn plan_and_model(&self, group: &GroupId) -> Option<(&GroupPlan, &ModelPlan)> {
+    fn group_and_model(&self, group: &GroupId) -> Option<(&GroupPlan, &ModelPlan)> {
         let plan = self.fleet.groups.get(group)?;
         Some((plan, self.fleet.models.get(&plan.model)?))
     }
--- a/crates/sesamecart-groups/src/controller/ordering.rs
+++ b/crates/sesamecart-groups/src/controller/ordering.rs
@@ -1,4 +1,4 @@
-//! Which order each group's endpoint gets next.
+//! Selects the next order for each group's endpoint.
 
 use sesamecart_vocabulary::{GroupId, Timestamp};
 
@@ -17,13 +17,13 @@
             let order = match self.phase(group) {
                 Some(GroupPhase::Recovering) => self.start_order(group, now),
                 Some(GroupPhase::Serving) => self.adapter_order(group, now),
-                Some(GroupPhase::Out) | None => None,
+                Some(GroupPhase::Incomplete) | None => None,
             };
             effects.extend(order.map(Effect::Order));
         }
     }
 
-    /// Tells the engine to start the assigned generation, once every member holds its weights.
+    /// Returns an order to start the assigned generation, once every member has loaded its weights.
     fn start_order(&mut self, group: &GroupId, now: Timestamp) -> Option<FencedOrder> {
         if self.is_pending(group) {
             return None;
@@ -31,26 +31,26 @@
         let assigned = self.assignments.group(group)?;
         let model = self.fleet.groups.get(group)?.model.clone();
         let control = self.groups.get_mut(group)?;
-        let holds = |vm| {
+        let has_loaded = |vm| {
             control
                 .loads
                 .get(vm)
                 .is_some_and(|load| load.is_done(&assigned.version))
         };
-        if !assigned.members.iter().all(holds) {
+        if !assigned.members.iter().all(has_loaded) {
             return None;
         }
         if !control.needs_start(assigned, &self.settings, now) {
             return None;
         }
-        let epoch = control.desk.may_send(now)?;
-        control.desk.sent(now);
-        control.ordered = Some(StartOrder {
+        let epoch = control.sequencer.sendable_epoch(now)?;
+        control.sequencer.record_sent(now);
+        control.start_order = Some(StartOrder {
             generation: assigned.generation,
-            at: now,
+            sent_at: now,
         });
         let version = assigned.version.clone();
-        let kind = if control.same_members(assigned) {
+        let kind = if control.has_same_members(assigned) {
             OrderKind::LoadVersion { model, version }
         } else {
             OrderKind::LoadModel { model, version }
@@ -63,24 +63,24 @@
         })
     }
 
-    /// Tells a serving engine to load the next adapter that this life of it wasn't told yet.
+    /// Returns an order to load the next adapter that this incarnation of a serving engine wasn't ordered yet.
     fn adapter_order(&mut self, group: &GroupId, now: Timestamp) -> Option<FencedOrder> {
         let plan = self.fleet.groups.get(group)?;
-        let wanted = &self.fleet.models.get(&plan.model)?.adapters;
+        let wanted_adapters = &self.fleet.models.get(&plan.model)?.adapters;
         let control = self.groups.get_mut(group)?;
         let incarnation = control.report.as_ref()?.incarnation;
         if control.adapters.incarnation != incarnation {
             control.adapters.ordered.clear();
             control.adapters.incarnation = incarnation;
-            control.adapters.told_all = false;
+            control.adapters.all_ordered = false;
         }
-        control.adapters.told_all = wanted.is_subset(&control.adapters.ordered);
-        let adapter = wanted
+        control.adapters.all_ordered = wanted_adapters.is_subset(&control.adapters.ordered);
+        let adapter = wanted_adapters
             .iter()
             .find(|a| !control.adapters.ordered.contains(*a))?
             .clone();
-        let epoch = control.desk.may_send(now)?;
-        control.desk.sent(now);
+        let epoch = control.sequencer.sendable_epoch(now)?;
+        control.sequencer.record_sent(now);
         control.adapters.ordered.insert(adapter.clone());
         Some(FencedOrder {
             group: group.clone(),
--- a/crates/sesamecart-groups/src/controller/planning.rs
+++ b/crates/sesamecart-groups/src/controller/planning.rs
@@ -1,4 +1,4 @@
-//! From what is known about groups to requests for the log.
+//! Plans assignment requests from the known state of groups.
 
 use std::time::Duration;
 
@@ -10,10 +10,10 @@
 use crate::assignment::AssignmentRequest;
 use crate::repair::{GroupHealth, Repair, RepairView, plan_repairs, plan_replacements};
 
-/// Fractions of a replica's worth are counted in this many parts of a model's value.
-const WORTH_SCALE: u64 = 1_000;
+/// Fixed-point scale of a replica's marginal value, in parts per unit of a model's value.
+const VALUE_SCALE: u64 = 1_000;
 
-/// Requests of one round, and the groups that they change.
+/// The requests of one planning round and the groups that they change.
 #[derive(Default)]
 pub(super) struct Batch {
     requests: Vec<AssignmentRequest>,
@@ -30,46 +30,46 @@
 impl Controller {
     pub(super) fn plan(&mut self, now: Timestamp, effects: &mut Vec<Effect>) {
         let mut batch = Batch::default();
-        if self.compare {
+        if self.needs_reconciliation {
             self.assign_new(&mut batch, now);
             self.release_removed(&mut batch);
-            self.behind = self.find_behind();
-            self.compare = self.has_unassigned() || !self.pending.is_empty();
+            self.outdated_models = self.find_outdated_models();
+            self.needs_reconciliation = self.has_unassigned_groups() || !self.pending.is_empty();
         }
         let serving = self.serving_replicas();
         let fabrics: Vec<FabricDomainId> = self.fabrics.keys().cloned().collect();
         for fabric in &fabrics {
             self.plan_fabric(fabric, &serving, &mut batch, now);
         }
-        self.plan_versions(&mut batch);
+        self.plan_version_updates(&mut batch);
         for request in batch.requests {
             self.pending.insert(request.clone(), now);
             effects.push(Effect::Append(request));
         }
     }
 
-    /// Gives a group that was never assigned the VMs of the configuration.
+    /// Assigns the configured VMs to each group that was never assigned.
     ///
-    /// An engine that already serves with them keeps its generation: a system that is put in front
-    /// of running engines must not restart them all.
+    /// An engine that is already serving with these VMs keeps its generation, so that deploying the system in
+    /// front of running engines doesn't restart them all.
     fn assign_new(&self, batch: &mut Batch, now: Timestamp) {
         for (group, control) in &self.groups {
             if self.assignments.group(group).is_some() || self.is_pending(group) {
                 continue;
             }
-            let Some((plan, model)) = self.plan_and_model(group) else {
+            let Some((plan, model)) = self.group_and_model(group) else {
                 continue;
             };
-            let waited = now.since(control.since) >= self.settings.append_timeout;
-            let heard = control.report.is_some() || waited;
-            let free = plan
+            let has_timed_out = now.since(control.controlled_since) >= self.settings.append_timeout;
+            let is_known = control.report.is_some() || has_timed_out;
+            let are_vms_free = plan
                 .vms
                 .iter()
                 .all(|vm| self.assignments.owner(vm).is_none());
-            if !heard || !free {
+            if !is_known || !are_vms_free {
                 continue;
             }
-            let serving = control.serving_generation(&plan.vms);
+            let serving = control.find_serving_generation(&plan.vms);
             batch.push(AssignmentRequest::Assign {
                 group: group.clone(),
                 vms: plan.vms.iter().cloned().collect(),
@@ -79,12 +79,12 @@
         }
     }
 
-    fn has_unassigned(&self) -> bool {
+    fn has_unassigned_groups(&self) -> bool {
         let mut groups = self.groups.keys();
         groups.any(|group| self.assignments.group(group).is_none())
     }
 
-    /// Frees the VMs of groups that the configuration doesn't name any more.
+    /// Frees the VMs of groups that are no longer configured.
     fn release_removed(&self, batch: &mut Batch) {
         for (group, assigned) in self.assignments.groups() {
             if self.fleet.groups.contains_key(group) || self.is_pending(group) {
@@ -107,30 +107,32 @@
         now: Timestamp,
     ) {
         self.finish_replacements(fabric, batch);
-        let Some(view) = self.view(fabric, serving, batch) else {
+        let Some(view) = self.repair_view(fabric, serving, batch) else {
             return;
         };
         let repairs = plan_repairs(&view, &self.settings.repair);
         for repair in &repairs {
             self.request_repair(repair, batch);
-            let from_serving = repair.adopt.iter().any(|adoption| adoption.from_serving);
+            let from_serving = repair.acquire.iter().any(|acquired| acquired.from_serving);
             if from_serving && let Some(control) = self.groups.get_mut(&repair.group) {
-                control.hold_until = now + self.settings.append_timeout + self.settings.validity;
+                control.start_not_before =
+                    now + self.settings.append_timeout + self.settings.validity;
             }
         }
-        let mut rest = view;
-        let adopted = |vm: &VmId| repairs.iter().flat_map(|r| &r.adopt).any(|a| a.vm == *vm);
-        rest.free
-            .retain(|vm| !adopted(vm) && !self.is_reserved(fabric, vm));
-        for replacement in plan_replacements(&rest, &self.settings.repair) {
+        let mut remaining = view;
+        let is_acquired = |vm: &VmId| repairs.iter().flat_map(|r| &r.acquire).any(|a| a.vm == *vm);
+        remaining
+            .free
+            .retain(|vm| !is_acquired(vm) && !self.is_reserved(fabric, vm));
+        for replacement in plan_replacements(&remaining, &self.settings.repair) {
             if let Some(control) = self.groups.get_mut(&replacement.group) {
                 control.preparation = Some(Preparation::Replacement(replacement));
             }
         }
     }
 
-    /// Returns the fabric domain as repair sees it, or nothing if there is nothing to repair.
-    fn view(
+    /// Returns the state of a fabric domain as input to repair, or `None` if there is nothing to repair.
+    fn repair_view(
         &self,
         fabric: &FabricDomainId,
         serving: &IndexMap<ModelId, u64>,
@@ -138,19 +140,19 @@
     ) -> Option<RepairView> {
         let members = self.fabrics.get(fabric)?;
         let leaving = !self.leaving.is_empty() && members.vms.iter().any(|vm| self.is_leaving(vm));
-        let serves = |group| self.phase(group) == Some(GroupPhase::Serving);
-        if !leaving && members.groups.iter().all(serves) {
+        let is_serving = |group| self.phase(group) == Some(GroupPhase::Serving);
+        if !leaving && members.groups.iter().all(is_serving) {
             return None;
         }
         let groups: Vec<GroupHealth> = members
             .groups
             .iter()
-            .filter_map(|group| self.health(group, serving, batch))
+            .filter_map(|group| self.group_health(group, serving, batch))
             .collect();
-        let needed = |g: &GroupHealth| {
+        let needs_repair = |g: &GroupHealth| {
             !g.lost.is_empty() || !g.leaving.is_empty() || g.usable.len() < g.size
         };
-        if !groups.iter().any(needed) {
+        if !groups.iter().any(needs_repair) {
             return None;
         }
         let free = members
@@ -166,44 +168,47 @@
         })
     }
 
-    fn health(
+    fn group_health(
         &self,
         group: &GroupId,
         serving: &IndexMap<ModelId, u64>,
         batch: &Batch,
     ) -> Option<GroupHealth> {
-        let (plan, model) = self.plan_and_model(group)?;
+        let (plan, model) = self.group_and_model(group)?;
         let assigned = self.assignments.group(group)?;
-        let drained = assigned.members.iter().any(|vm| self.is_drained(vm));
-        let serves = self.phase(group)? == GroupPhase::Serving;
-        let (usable, rest): (Vec<VmId>, Vec<VmId>) = assigned
+        let is_drained = assigned.members.iter().any(|vm| self.is_drained(vm));
+        let is_serving = self.phase(group)? == GroupPhase::Serving;
+        let (usable, unusable): (Vec<VmId>, Vec<VmId>) = assigned
             .members
             .iter()
             .cloned()
             .partition(|vm| !self.is_lost(vm) && !self.is_leaving(vm));
-        let (lost, leaving) = if serves {
-            (Vec::new(), rest)
+        let (lost, leaving) = if is_serving {
+            (Vec::new(), unusable)
         } else {
-            (rest, Vec::new())
+            (unusable, Vec::new())
         };
-        let others = serving.get(&plan.model).copied().unwrap_or(0) - u64::from(serves);
-        let preparing = self.groups.get(group)?.preparation.is_some();
+        let others = serving.get(&plan.model).copied().unwrap_or(0) - u64::from(is_serving);
+        let is_preparing = self.groups.get(group)?.preparation.is_some();
         Some(GroupHealth {
             group: group.clone(),
-            worth: u64::from(model.value.0) * WORTH_SCALE / (others + 1),
+            marginal_value: u64::from(model.value.0) * VALUE_SCALE / (others + 1),
             size: model.vms_per_group,
             scarce: others <= 1,
-            serving: serves,
-            busy: drained || preparing || self.is_pending(group) || batch.changed.contains(group),
+            serving: is_serving,
+            busy: is_drained
+                || is_preparing
+                || self.is_pending(group)
+                || batch.changed.contains(group),
             usable,
             lost,
             leaving,
         })
     }
 
-    /// Counts the serving replicas of each model; those controlled elsewhere are taken to serve.
+    /// Counts the serving replicas of each model. Replicas controlled by other nodes are assumed to be serving.
     fn serving_replicas(&self) -> IndexMap<ModelId, u64> {
-        let mut serving = self.replicas.clone();
+        let mut serving = self.replica_counts.clone();
         for (group, control) in &self.groups {
             if control.phase == GroupPhase::Serving {
                 continue;
@@ -226,14 +231,14 @@
         Duration::from_secs(bytes / self.settings.vm_rate.0.max(1))
     }
 
-    /// Requests what a repair needs: VMs are freed first, since the fold gives away only free ones.
+    /// Adds the requests of a repair. VMs are freed first, since the fold only assigns free VMs.
     fn request_repair(&self, repair: &Repair, batch: &mut Batch) {
         let Some(assigned) = self.assignments.group(&repair.group) else {
             return;
         };
-        for adoption in &repair.adopt {
-            if let Some(donor) = &adoption.from {
-                self.request_release(batch, donor, &adoption.vm);
+        for acquired in &repair.acquire {
+            if let Some(donor) = &acquired.from {
+                self.request_release(batch, donor, &acquired.vm);
             }
         }
         for vm in &repair.release {
@@ -243,8 +248,8 @@
             .members
             .iter()
             .filter(|vm| !repair.release.contains(vm));
-        let adopted = repair.adopt.iter().map(|adoption| &adoption.vm);
-        let vms = kept.chain(adopted).cloned().collect();
+        let acquired_vms = repair.acquire.iter().map(|acquired| &acquired.vm);
+        let vms = kept.chain(acquired_vms).cloned().collect();
         self.request_members(batch, &repair.group, vms, &assigned.version);
     }
 
@@ -272,10 +277,9 @@
         }
     }
 
-    /// Carries out replacements whose spares have loaded, and gives up those that make no sense
-    /// any more.
+    /// Requests the replacements whose spares have loaded, and cancels those that are no longer valid.
     fn finish_replacements(&mut self, fabric: &FabricDomainId, batch: &mut Batch) {
-        for group in self.preparing() {
+        for group in self.groups_in_preparation() {
             let plan = self.fleet.groups.get(&group);
             if plan.is_none_or(|plan| plan.fabric_domain != *fabric) {
                 continue;
@@ -287,26 +291,26 @@
                 continue;
             };
             let repair = repair.clone();
-            let loaded = self.assignments.group(&group).is_some_and(|assigned| {
+            let is_loaded = self.assignments.group(&group).is_some_and(|assigned| {
                 let is_done = |vm| {
                     control
                         .loads
                         .get(vm)
                         .is_some_and(|load| load.is_done(&assigned.version))
                 };
-                repair.adopt.iter().all(|adoption| is_done(&adoption.vm))
+                repair.acquire.iter().all(|acquired| is_done(&acquired.vm))
             });
-            let serves = self.phase(&group) == Some(GroupPhase::Serving);
-            let valid = serves
+            let is_serving = self.phase(&group) == Some(GroupPhase::Serving);
+            let is_valid = is_serving
                 && repair.release.iter().all(|vm| self.is_leaving(vm))
                 && repair
-                    .adopt
+                    .acquire
                     .iter()
-                    .all(|adoption| self.is_free(&adoption.vm));
-            if valid && loaded {
+                    .all(|acquired| self.is_free(&acquired.vm));
+            if is_valid && is_loaded {
                 self.request_repair(&repair, batch);
             }
-            if (!valid || loaded)
+            if (!is_valid || is_loaded)
                 && let Some(control) = self.groups.get_mut(&group)
             {
                 control.preparation = None;
@@ -314,7 +318,7 @@
         }
     }
 
-    pub(super) fn preparing(&self) -> Vec<GroupId> {
+    pub(super) fn groups_in_preparation(&self) -> Vec<GroupId> {
         let preparing = self
             .groups
             .iter()
@@ -326,7 +330,7 @@
         self.pending.keys().any(|request| request.group() == group)
     }
 
-    /// Says whether a VM can be used as a spare.
+    /// Returns whether a VM can be used as a spare.
     fn is_free(&self, vm: &VmId) -> bool {
         self.assignments.owner(vm).is_none()
             && !self.is_lost(vm)
@@ -344,7 +348,7 @@
             let preparation = self.groups.get(group).and_then(|g| g.preparation.as_ref());
             match preparation {
                 Some(Preparation::Replacement(repair)) => {
-                    repair.adopt.iter().any(|adoption| adoption.vm == *vm)
+                    repair.acquire.iter().any(|acquired| acquired.vm == *vm)
                 }
                 Some(Preparation::Version(_)) | None => false,
             }
--- a/crates/sesamecart-groups/src/fleet.rs
+++ b/crates/sesamecart-groups/src/fleet.rs
@@ -1,11 +1,11 @@
-//! What should run where, as group control needs it.
+//! The desired state of groups, models and VMs, as needed by group control.
 
 use indexmap::{IndexMap, IndexSet};
 use sesamecart_vocabulary::{
     AdapterId, Bytes, FabricDomainId, FailureDomainId, GroupId, ModelId, ShardId, VmId, Weight,
 };
 
-/// The part of the day's configuration that concerns serving groups.
+/// The part of the current configuration that concerns serving groups.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Fleet {
     /// The VMs that may hold members of groups.
@@ -16,7 +16,7 @@
     pub groups: IndexMap<GroupId, GroupPlan>,
 }
 
-/// Where a VM lies.
+/// The location of a VM.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct VmPlace {
     /// Its failure domain.
@@ -25,39 +25,39 @@
     pub fabric_domain: FabricDomainId,
 }
 
-/// What one replica of a model needs.
+/// The desired state of a model and the resources of one replica.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ModelPlan {
     /// The version of the weights that should run.
     pub version: String,
     /// The number of VMs of one replica.
     pub vms_per_group: usize,
-    /// What one member VM loads from the weight store.
+    /// The bytes that each member VM loads from the weight store.
     pub bytes_per_vm: Bytes,
-    /// How much the service of this model matters beside the other models.
+    /// The importance of this model relative to other models.
     pub value: Weight,
-    /// The adapters to load beside it.
+    /// The adapters to load in addition to the model.
     pub adapters: IndexSet<AdapterId>,
 }
 
-/// One serving group that should run.
+/// The desired state of one serving group.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct GroupPlan {
     /// The model that it serves.
     pub model: ModelId,
-    /// The fabric domain that all of its VMs lie in.
+    /// The fabric domain that contains all of its VMs.
     pub fabric_domain: FabricDomainId,
-    /// The VMs that the configuration gives it at first.
+    /// The VMs that the configuration assigns to it initially.
     pub vms: IndexSet<VmId>,
-    /// Whether its endpoint refuses an order with an old fencing number.
+    /// Whether its endpoint refuses an order with an outdated fencing token.
     pub checks_epoch: bool,
 }
 
 impl GroupPlan {
     /// Returns the shard whose owner controls this group.
     ///
-    /// It is the fabric domain's and not the group's own: repair chooses among all groups and
-    /// spares of a fabric domain, and two owners there could take apart each other's groups.
+    /// There is one shard per fabric domain and not per group: repair selects from all groups and spares of a
+    /// fabric domain, and with two owners in it each could preempt the other's groups.
     #[must_use]
     pub fn shard(&self) -> ShardId {
         ShardId::of(self.fabric_domain.as_str())
--- a/crates/sesamecart-groups/src/lib.rs
+++ b/crates/sesamecart-groups/src/lib.rs
@@ -1,7 +1,7 @@
 //! Serving groups: completeness, repair, fenced orders and weight loads.
 //!
-//! Everything here is pure: events and the time go in, effects come out, so that the same code runs
-//! in the node, in tests and in `measure -- groups`. See docs/design/groups.md.
+//! This crate does no I/O: it takes events and the current time and returns effects, so that the same code
+//! runs in the node, in tests and in `measure -- groups`. See docs/design/groups.md.
 
 mod assignment;
 mod controller;
@@ -16,9 +16,9 @@
 pub use assignment::{AssignedGroup, AssignmentRequest, Assignments};
 pub use controller::{Controller, Effect, Event, GroupPhase, VmState};
 pub use fleet::{Fleet, GroupPlan, ModelPlan, VmPlace};
-pub use order::{FencedOrder, OrderAnswer, OrderDesk, OrderKind};
-pub use repair::{Adoption, GroupHealth, Repair, RepairView, plan_repairs, plan_replacements};
+pub use order::{FencedOrder, OrderAnswer, OrderKind, OrderSequencer};
+pub use repair::{AcquiredVm, GroupHealth, Repair, RepairView, plan_repairs, plan_replacements};
 pub use rollout::{Replica, next_to_update};
 pub use settings::{GroupSettings, RepairSettings};
 pub use state::{GroupReport, MemberReport, NotRoutable, Routability, assess};
-pub use weights::{LoadRequest, RateGrant, allot};
+pub use weights::{LoadRequest, RateGrant, allocate_rates};
--- a/crates/sesamecart-groups/src/repair.rs
+++ b/crates/sesamecart-groups/src/repair.rs
@@ -1,8 +1,8 @@
-//! Chooses how groups that have lost VMs get complete again.
+//! Plans how groups that have lost VMs become complete again.
 //!
-//! The load it answers: VMs die one by one, in racks and in whole domains, and the VMs that are left
-//! over in incomplete groups serve nobody. Without it each lost VM strands the rest of its replica
-//! until the same VM is back. docs/design/groups.md has what was weighed.
+//! VMs fail individually, by rack and by whole domain, and the remaining VMs of an incomplete group can't
+//! serve. Without repair, each lost VM would leave the rest of its replica idle until that VM returns.
+//! docs/design/groups.md describes the alternatives.
 
 use std::time::Duration;
 
@@ -11,24 +11,25 @@
 
 use crate::settings::RepairSettings;
 
-/// One group of a fabric domain, as repair sees it.
+/// The state of one group of a fabric domain, as input to repair.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct GroupHealth {
     /// The group.
     pub group: GroupId,
-    /// What its service is worth now: high where few replicas of a valued model are left.
-    pub worth: u64,
-    /// The number of VMs of a whole replica.
+    /// The value that the group adds to its model's service: the model's value divided by the number of
+    /// serving replicas, with this one included, on a fixed-point scale.
+    pub marginal_value: u64,
+    /// The number of VMs of a complete replica.
     pub size: usize,
-    /// Whether at most one other replica of its model serves.
+    /// Whether at most one other replica of its model is serving.
     pub scarce: bool,
-    /// Whether it serves.
+    /// Whether it is serving.
     pub serving: bool,
-    /// Whether a change of it is already under way.
+    /// Whether a change to it is in progress or a member is in a drained failure domain.
     pub busy: bool,
     /// Members that can be used.
     pub usable: Vec<VmId>,
-    /// Members that are lost, or that are leaving while the group is out anyway.
+    /// Members that are lost, or that are leaving while the group isn't serving anyway.
     pub lost: Vec<VmId>,
     /// Members of a serving group that are about to leave.
     pub leaving: Vec<VmId>,
@@ -44,78 +45,77 @@
     }
 }
 
-/// One fabric domain, as repair sees it.
+/// The state of one fabric domain, as input to repair.
 ///
-/// A plan never spans two of them, since a replica is slow across; seeing one at a time makes that
-/// impossible to get wrong.
+/// A replica that spans two fabric domains is slow. Planning one fabric domain at a time rules this out.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct RepairView {
     /// Its groups.
     pub groups: Vec<GroupHealth>,
     /// Its usable VMs that belong to no group.
     pub free: Vec<VmId>,
-    /// How long one VM's load takes at its full rate.
+    /// How long the load of one VM takes at its full rate.
     pub load_time: Duration,
 }
 
-/// A change that makes one group complete again.
+/// A change that makes one group complete.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Repair {
-    /// The group that gets complete.
+    /// The group that becomes complete.
     pub group: GroupId,
-    /// The members that it gives up.
+    /// The members that it releases.
     pub release: Vec<VmId>,
-    /// The VMs that it gets.
-    pub adopt: Vec<Adoption>,
+    /// The VMs that it acquires.
+    pub acquire: Vec<AcquiredVm>,
 }
 
-/// A VM that a group gets.
+/// A VM that a group acquires.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Adoption {
+pub struct AcquiredVm {
     /// The VM.
     pub vm: VmId,
-    /// The group that it is taken from, if it isn't free.
+    /// The group that the VM is taken from, if it isn't free.
     pub from: Option<GroupId>,
-    /// Whether that group was serving until now.
+    /// Whether that group is serving.
     pub from_serving: bool,
 }
 
-/// Plans repairs of one fabric domain; each one completes its group.
+/// Plans repairs of one fabric domain. Each repair completes its group.
 ///
-/// Groups of the highest worth come first and among equals those that miss the fewest VMs, because
-/// they get complete with the least. A group that can't be completed gets nothing: a spare held by
-/// a group that stays incomplete would serve nobody.
+/// Groups are repaired by descending marginal value, and among equals by the fewest missing VMs, because these
+/// need the fewest VMs. A group that can't be completed acquires nothing: a spare in a group that stays
+/// incomplete would be idle.
 #[must_use]
 pub fn plan_repairs(view: &RepairView, settings: &RepairSettings) -> Vec<Repair> {
-    let mut pool = Pool::new(view, settings);
+    let mut pool = VmPool::new(view, settings);
     let mut order: Vec<&GroupHealth> = view.groups.iter().filter(|g| g.is_broken()).collect();
     order.sort_by(|a, b| {
-        (b.worth.cmp(&a.worth))
+        (b.marginal_value.cmp(&a.marginal_value))
             .then(a.missing().cmp(&b.missing()))
             .then_with(|| a.group.cmp(&b.group))
     });
     let mut repairs = Vec::new();
     for (index, group) in order.iter().enumerate() {
-        if pool.touched.contains(&group.group) {
+        if pool.changed_groups.contains(&group.group) {
             continue;
         }
-        let Some(adopt) = pool.complete(group, &order[index + 1..]) else {
+        let Some(acquire) = pool.complete(group, &order[index + 1..]) else {
             continue;
         };
-        pool.touched.insert(group.group.clone());
+        pool.changed_groups.insert(group.group.clone());
         repairs.push(Repair {
             group: group.group.clone(),
             release: group.lost.clone(),
-            adopt,
+            acquire,
         });
     }
     repairs
 }
 
-/// Plans replacements of VMs that are about to leave serving groups, by free VMs.
+/// Plans replacements of VMs that are about to leave serving groups with free VMs.
 ///
-/// The spare loads its weights while the group still serves, so that callers miss the group for one
-/// start of the engine in place of notice, load and start.
+/// The spare loads its weights while the group is still serving, so the group is unavailable only while its
+/// engine starts, and not also for failure detection and the load.
 #[must_use]
 pub fn plan_replacements(view: &RepairView, settings: &RepairSettings) -> Vec<Repair> {
     if !settings.replace_leaving {
@@ -127,116 +127,138 @@
         .iter()
         .filter(|g| g.serving && !g.busy && !g.leaving.is_empty())
         .collect();
-    groups.sort_by(|a, b| b.worth.cmp(&a.worth).then_with(|| a.group.cmp(&b.group)));
+    groups.sort_by(|a, b| {
+        b.marginal_value
+            .cmp(&a.marginal_value)
+            .then_with(|| a.group.cmp(&b.group))
+    });
     let mut plans = Vec::new();
     for group in groups {
         if free.len() < group.leaving.len() {
             continue;
         }
-        let adopt = free
+        let acquire = free
             .by_ref()
             .take(group.leaving.len())
-            .map(free_vm)
+            .map(acquire_free)
             .collect();
         plans.push(Repair {
             group: group.group.clone(),
             release: group.leaving.clone(),
-            adopt,
+            acquire,
         });
     }
     plans
 }
 
-fn free_vm(vm: &VmId) -> Adoption {
-    Adoption {
+fn acquire_free(vm: &VmId) -> AcquiredVm {
+    AcquiredVm {
         vm: vm.clone(),
         from: None,
         from_serving: false,
     }
 }
 
-/// The VMs that repairs may still use, and the groups that were changed by earlier ones.
-struct Pool<'a> {
+/// The VMs that are still available for repairs, and the groups changed by earlier repairs.
+struct VmPool<'a> {
     view: &'a RepairView,
     settings: &'a RepairSettings,
     free: Vec<VmId>,
-    touched: IndexSet<GroupId>,
+    changed_groups: IndexSet<GroupId>,
     taken: IndexSet<VmId>,
 }
 
-impl<'a> Pool<'a> {
+impl<'a> VmPool<'a> {
     fn new(view: &'a RepairView, settings: &'a RepairSettings) -> Self {
         Self {
             view,
             settings,
             free: view.free.clone(),
-            touched: IndexSet::new(),
+            changed_groups: IndexSet::new(),
             taken: IndexSet::new(),
         }
     }
 
-    /// Finds the VMs that complete `group`, or nothing.
-    fn complete(&mut self, group: &GroupHealth, lower: &[&GroupHealth]) -> Option<Vec<Adoption>> {
-        let need = group.missing();
-        let mut adopt: Vec<Adoption> = Vec::with_capacity(need);
+    /// Acquires the VMs that complete `group`, or returns `None` if there aren't enough.
+    fn complete(
+        &mut self,
+        group: &GroupHealth,
+        lower_ranked: &[&GroupHealth],
+    ) -> Option<Vec<AcquiredVm>> {
+        let needed = group.missing();
+        let mut acquire: Vec<AcquiredVm> = Vec::with_capacity(needed);
         if self.settings.use_spares {
-            adopt.extend(self.free.iter().take(need).map(free_vm));
+            acquire.extend(self.free.iter().take(needed).map(acquire_free));
         }
-        let from_free = adopt.len();
-        if adopt.len() < need && self.merging_pays() {
-            self.take_broken(need, lower, &mut adopt);
+        let free_count = acquire.len();
+        if acquire.len() < needed && self.is_merge_faster() {
+            self.acquire_from_broken(needed, lower_ranked, &mut acquire);
         }
-        if adopt.len() < need && group.scarce && self.settings.take_apart_serving {
-            self.take_serving(need, group, &mut adopt);
+        if acquire.len() < needed && group.scarce && self.settings.take_apart_serving {
+            self.acquire_from_serving(needed, group, &mut acquire);
         }
-        if adopt.len() < need {
+        if acquire.len() < needed {
             return None;
         }
-        self.free.drain(..from_free);
-        for adoption in &adopt {
-            self.taken.insert(adoption.vm.clone());
-            self.touched.extend(adoption.from.clone());
+        self.free.drain(..free_count);
+        for acquired in &acquire {
+            self.taken.insert(acquired.vm.clone());
+            self.changed_groups.extend(acquired.from.clone());
         }
-        Some(adopt)
+        Some(acquire)
     }
 
-    /// Says whether a group completed with another's survivors is back before the lost VMs are.
-    fn merging_pays(&self) -> bool {
-        let recovery = self.view.load_time + self.settings.expected_start;
-        self.settings.merge_broken && recovery < self.settings.expected_return
+    /// Returns whether completing a group with another's VMs is faster than waiting for the lost VMs.
+    fn is_merge_faster(&self) -> bool {
+        let recovery = self.view.load_time + self.settings.expected_engine_start;
+        self.settings.merge_broken && recovery < self.settings.expected_vm_absence
     }
 
-    /// Takes survivors of groups that are out as well, the one of least use first.
-    fn take_broken(&self, need: usize, lower: &[&GroupHealth], adopt: &mut Vec<Adoption>) {
-        for donor in lower.iter().rev() {
-            self.take_from(donor, need, adopt);
+    /// Acquires VMs of other incomplete groups, lowest priority first.
+    fn acquire_from_broken(
+        &self,
+        needed: usize,
+        lower_ranked: &[&GroupHealth],
+        acquire: &mut Vec<AcquiredVm>,
+    ) {
+        for donor in lower_ranked.iter().rev() {
+            self.acquire_from(donor, needed, acquire);
         }
     }
 
-    /// Takes the VMs of the serving group that costs least, if this one is worth much more.
+    /// Acquires the VMs of the serving group with the lowest marginal value, if that of `group` is much higher.
     ///
-    /// Only a model that is left with one replica or none is helped this way. Each time costs a
-    /// load and a start that no caller would otherwise miss, and for models with more replicas that
-    /// was measured to cost more than it brings.
-    fn take_serving(&self, need: usize, group: &GroupHealth, adopt: &mut Vec<Adoption>) {
-        let factor = u64::from(self.settings.take_apart_factor.max(2));
+    /// This is done only for a model with at most one other serving replica. Each preemption causes downtime of
+    /// a load and an engine start that callers wouldn't otherwise see. For models with more replicas this cost
+    /// more service than it restored.
+    fn acquire_from_serving(
+        &self,
+        needed: usize,
+        group: &GroupHealth,
+        acquire: &mut Vec<AcquiredVm>,
+    ) {
+        let factor = u64::from(self.settings.preemption_factor.max(2));
         let donor = self
             .view
             .groups
             .iter()
             .filter(|donor| donor.serving && !donor.busy && donor.leaving.is_empty())
-            .filter(|donor| !self.touched.contains(&donor.group))
-            .filter(|donor| donor.worth.saturating_mul(factor) <= group.worth)
-            .min_by(|a, b| a.worth.cmp(&b.worth).then_with(|| a.group.cmp(&b.group)));
+            .filter(|donor| !self.changed_groups.contains(&donor.group))
+            .filter(|donor| donor.marginal_value.saturating_mul(factor) <= group.marginal_value)
+            .min_by(|a, b| {
+                a.marginal_value
+                    .cmp(&b.marginal_value)
+                    .then_with(|| a.group.cmp(&b.group))
+            });
         if let Some(donor) = donor {
-            self.take_from(donor, need, adopt);
+            self.acquire_from(donor, needed, acquire);
         }
     }
 
-    fn take_from(&self, donor: &GroupHealth, need: usize, adopt: &mut Vec<Adoption>) {
-        let open = need.saturating_sub(adopt.len());
+    fn acquire_from(&self, donor: &GroupHealth, needed: usize, acquire: &mut Vec<AcquiredVm>) {
+        let outstanding = needed.saturating_sub(acquire.len());
         let vms = donor.usable.iter().filter(|vm| !self.taken.contains(*vm));
-        adopt.extend(vms.take(open).map(|vm| Adoption {
+        acquire.extend(vms.take(outstanding).map(|vm| AcquiredVm {
             vm: vm.clone(),
             from: Some(donor.group.clone()),
             from_serving: donor.serving,
--- a/crates/sesamecart-groups/src/repair/tests.rs
+++ b/crates/sesamecart-groups/src/repair/tests.rs
@@ -13,10 +13,10 @@
 }
 
 /// A group of three VMs that is out.
-fn broken(name: &str, worth: u64, usable: &str, lost: &str) -> GroupHealth {
+fn broken(name: &str, marginal_value: u64, usable: &str, lost: &str) -> GroupHealth {
     GroupHealth {
         group: name.parse().unwrap(),
-        worth,
+        marginal_value,
         size: 3,
         scarce: true,
         serving: false,
@@ -27,11 +27,11 @@
     }
 }
 
-fn serving(name: &str, worth: u64, usable: &str, leaving: &str) -> GroupHealth {
+fn serving(name: &str, marginal_value: u64, usable: &str, leaving: &str) -> GroupHealth {
     GroupHealth {
         serving: true,
         leaving: vms(leaving),
-        ..broken(name, worth, usable, "")
+        ..broken(name, marginal_value, usable, "")
     }
 }
 
@@ -60,11 +60,11 @@
 
 fn words(repairs: &[super::Repair]) -> Vec<String> {
     let adopted = |repair: &super::Repair| {
-        let adopt = repair.adopt.iter().map(|adoption| match &adoption.from {
-            Some(from) => format!("{}<{from}", adoption.vm),
-            None => adoption.vm.to_string(),
+        let acquire = repair.acquire.iter().map(|acquired| match &acquired.from {
+            Some(from) => format!("{}<{from}", acquired.vm),
+            None => acquired.vm.to_string(),
         });
-        adopt.collect::<Vec<_>>().join(",")
+        acquire.collect::<Vec<_>>().join(",")
     };
     repairs
         .iter()
@@ -108,7 +108,7 @@
 #[test]
 fn survivors_stay_when_return_is_quicker() {
     let settings = RepairSettings {
-        expected_return: Duration::from_secs(20),
+        expected_vm_absence: Duration::from_secs(20),
         ..RepairSettings::default()
     };
     let groups = vec![broken("a", 5, "a1 a2", "a3"), broken("b", 5, "b1 b2", "b3")];
@@ -132,14 +132,14 @@
     check_property(
         bolero::produce::<(Vec<(u8, u8, bool)>, u8)>(),
         |(groups, free)| {
-            let group = |(index, (worth, lost, serves)): (usize, &(u8, u8, bool))| {
+            let group = |(index, (marginal_value, lost, serves)): (usize, &(u8, u8, bool))| {
                 let lost = if *serves { 0 } else { usize::from(lost % 4) };
                 let names: Vec<String> = (0..3).map(|vm| format!("vm-{index}-{vm}")).collect();
                 GroupHealth {
                     serving: *serves,
                     ..broken(
                         &format!("g-{index}"),
-                        u64::from(*worth),
+                        u64::from(*marginal_value),
                         &names[lost..].join(" "),
                         &names[..lost].join(" "),
                     )
@@ -159,14 +159,16 @@
     for repair in plan_repairs(view, &RepairSettings::default()) {
         let group = find(repair.group);
         assert!(!group.serving);
-        assert_eq!(group.usable.len() + repair.adopt.len(), 3);
+        assert_eq!(group.usable.len() + repair.acquire.len(), 3);
         assert!(group.usable.iter().all(|vm| !used.contains(vm)));
-        for adoption in repair.adopt {
-            let donor = adoption.from.map(find);
+        for acquired in repair.acquire {
+            let donor = acquired.from.map(find);
             let source = donor.map_or(&view.free, |donor| &donor.usable);
-            assert!(source.contains(&adoption.vm));
-            assert!(donor.is_none_or(|d| !d.serving || 2 * d.worth <= group.worth));
-            assert!(used.insert(adoption.vm));
+            assert!(source.contains(&acquired.vm));
+            assert!(
+                donor.is_none_or(|d| !d.serving || 2 * d.marginal_value <= group.marginal_value)
+            );
+            assert!(used.insert(acquired.vm));
         }
     }
 }
--- a/crates/sesamecart-groups/src/rollout.rs
+++ b/crates/sesamecart-groups/src/rollout.rs
@@ -1,38 +1,37 @@
-//! Which replica changes to a new version next.
+//! Selects the next replica to update to a new version.
 
 use sesamecart_vocabulary::GroupId;
 
-/// One replica of a model, as a rollout sees it.
+/// The state of one replica of a model during a rollout.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Replica {
     /// The group.
     pub group: GroupId,
-    /// Whether it serves now.
+    /// Whether it is currently serving.
     pub routable: bool,
-    /// Whether it runs or is changing to the wanted version.
-    pub current: bool,
-    /// Whether its change is under way.
-    pub changing: bool,
+    /// Whether it is assigned the target version.
+    pub up_to_date: bool,
+    /// Whether its update is in progress.
+    pub updating: bool,
 }
 
-/// Chooses the next replica of one model to change to the wanted version.
+/// Selects the next replica of one model to update to the target version.
 ///
-/// If all replicas changed at once, the model would be away for a whole load. So at most one changes
-/// at a time, one that doesn't serve goes first since it costs nothing, and a serving one goes only
-/// while another serves. A model with a single replica goes when nothing better is possible: there
-/// is no second replica to keep the service, and waiting would leave the accepted configuration
-/// out of force for ever.
+/// If all replicas were updated at once, the model would be unavailable until its weights are loaded. So at
+/// most one replica is updated at a time. A replica that isn't serving is updated first, since that costs
+/// nothing, and a serving one only while another serves. A model's only replica is updated although it
+/// serves: no second replica could serve meanwhile, and waiting would never apply the accepted configuration.
 #[must_use]
 pub fn next_to_update(replicas: &[Replica]) -> Option<&GroupId> {
-    if replicas.iter().any(|replica| replica.changing) {
+    if replicas.iter().any(|replica| replica.updating) {
         return None;
     }
-    let behind = || replicas.iter().filter(|replica| !replica.current);
-    if let Some(idle) = behind().find(|replica| !replica.routable) {
-        return Some(&idle.group);
+    let outdated = || replicas.iter().filter(|replica| !replica.up_to_date);
+    if let Some(not_serving) = outdated().find(|replica| !replica.routable) {
+        return Some(&not_serving.group);
     }
     let serving = replicas.iter().filter(|replica| replica.routable).count();
-    let next = behind().next()?;
+    let next = outdated().next()?;
     (serving >= 2 || replicas.len() == 1).then_some(&next.group)
 }
 
--- a/crates/sesamecart-groups/src/rollout/tests.rs
+++ b/crates/sesamecart-groups/src/rollout/tests.rs
@@ -6,8 +6,8 @@
         .map(|word| Replica {
             group: word[..1].parse().unwrap(),
             routable: word.contains('+'),
-            current: word.contains('*'),
-            changing: word.contains('~'),
+            up_to_date: word.contains('*'),
+            updating: word.contains('~'),
         })
         .collect()
 }
--- a/crates/sesamecart-groups/src/settings.rs
+++ b/crates/sesamecart-groups/src/settings.rs
@@ -1,65 +1,67 @@
-//! The times and rates that group control works by.
+//! Timeouts and rates of group control.
 
 use std::time::Duration;
 
 use sesamecart_vocabulary::Bytes;
 
-/// What group control is set to.
+/// Settings of group control.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct GroupSettings {
-    /// How long a report of a group holds. It bounds how long work can go to a group that has lost a
-    /// member without a word, and must cover three polls so that one lost answer takes nobody out.
+    /// How long a group's report is valid, counted from when the request for it was sent. It bounds how
+    /// long work is sent to a group whose member failed silently. It must cover three polls, so that one
+    /// lost response doesn't make a group unroutable.
     pub validity: Duration,
-    /// How long a member must be unseen before it is replaced. A pause shorter than this costs less
-    /// than loading its weights again elsewhere.
-    pub patience: Duration,
-    /// The longest time that an order sent by an earlier owner can take effect.
-    pub longest_order: Duration,
-    /// How long an append may go without a verdict before it is planned anew.
+    /// How long a member must be missing from reports before it is replaced. Waiting out a pause shorter
+    /// than this costs less than loading the weights on another VM.
+    pub grace_period: Duration,
+    /// The longest time between sending an order and its taking effect. A new owner waits this long for
+    /// orders of the previous owner that may still be in flight.
+    pub max_order_latency: Duration,
+    /// How long to wait for the outcome of an append before the change is planned again.
     pub append_timeout: Duration,
-    /// How long an engine may take to start before the order is given again.
+    /// How long an engine may take to start before the start order is sent again.
     pub start_timeout: Duration,
-    /// How long a VM whose load failed isn't chosen again.
-    pub suspect_for: Duration,
-    /// What the weight store gives in a second to all groups controlled here.
+    /// How long a VM counts as lost, and isn't selected again, after its load failed or reports missed it.
+    pub suspect_duration: Duration,
+    /// Bytes per second that all groups controlled by this node may load from the weight store.
     pub store_rate: Bytes,
-    /// What one VM can load in a second.
+    /// Bytes per second that one VM can load.
     pub vm_rate: Bytes,
     /// How groups are repaired.
     pub repair: RepairSettings,
 }
 
-/// How groups are repaired; each way can be switched off to see what it brings.
+/// How groups are repaired. Each method can be disabled to measure its effect.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct RepairSettings {
-    /// Replace a lost member by a free VM of the same fabric domain.
+    /// Replace a lost member with a free VM of the same fabric domain.
     pub use_spares: bool,
-    /// Complete a group with the survivors of another that is out as well.
+    /// Complete a group with the remaining VMs of another incomplete group.
     pub merge_broken: bool,
-    /// Take apart a serving group for one of a model that has hardly any replica left and whose
-    /// service is worth much more.
+    /// Preempt a serving group to complete a group of a model that has at most one other serving replica
+    /// and a much higher marginal value.
     pub take_apart_serving: bool,
-    /// Replace a VM that is listed as leaving before it goes.
+    /// Replace a VM that the VM list shows as leaving before it is gone.
     pub replace_leaving: bool,
-    /// How many times more a group's service must be worth than that of the serving group taken
-    /// apart for it; below 2 two groups could take each other apart in turn.
-    pub take_apart_factor: u32,
-    /// How long a lost VM usually stays away. Survivors of another group that is out are only taken
-    /// if loading and starting there takes less.
-    pub expected_return: Duration,
-    /// How long an engine usually takes to start once the weights are there.
-    pub expected_start: Duration,
+    /// The lowest ratio between a group's marginal value and that of a serving group that it may preempt.
+    /// Below 2, two groups could preempt each other in turn.
+    pub preemption_factor: u32,
+    /// How long a lost VM is usually absent. VMs of another incomplete group are only used if loading the
+    /// weights and starting the engine takes less time.
+    pub expected_vm_absence: Duration,
+    /// How long an engine usually takes to start once the weights are loaded.
+    pub expected_engine_start: Duration,
 }
 
 impl Default for GroupSettings {
     fn default() -> Self {
         Self {
             validity: Duration::from_secs(3),
-            patience: Duration::from_secs(5),
-            longest_order: Duration::from_secs(10),
+            grace_period: Duration::from_secs(5),
+            max_order_latency: Duration::from_secs(10),
             append_timeout: Duration::from_secs(10),
             start_timeout: Duration::from_secs(120),
-            suspect_for: Duration::from_secs(60),
+            suspect_duration: Duration::from_secs(60),
             store_rate: Bytes(20_000_000_000),
             vm_rate: Bytes(2_000_000_000),
             repair: RepairSettings::default(),
@@ -74,9 +76,9 @@
             merge_broken: true,
             take_apart_serving: true,
             replace_leaving: true,
-            take_apart_factor: 2,
-            expected_return: Duration::from_secs(600),
-            expected_start: Duration::from_secs(30),
+            preemption_factor: 2,
+            expected_vm_absence: Duration::from_secs(600),
+            expected_engine_start: Duration::from_secs(30),
         }
     }
 }
--- a/crates/sesamecart-groups/src/state.rs
+++ b/crates/sesamecart-groups/src/state.rs
@@ -1,4 +1,4 @@
-//! Whether a group may be given work.
+//! Decides whether a group is routable.
 
 use std::time::Duration;
 
@@ -8,90 +8,90 @@
 
 use crate::assignment::AssignedGroup;
 
-/// What a group's front said about itself and its members.
+/// The state of a group and its members, as reported by the group's endpoint.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct GroupReport {
-    /// The group that was asked.
+    /// The group.
     pub group: GroupId,
-    /// When the question was sent. Validity counts from here and not from the answer, because the
-    /// answer may have been under way for any time.
+    /// When the request for the report was sent. Validity is counted from this time and not from the
+    /// response, because the response may have been delayed for any time.
     pub asked_at: Timestamp,
-    /// The engine's life.
+    /// The incarnation of the engine.
     pub incarnation: Incarnation,
     /// The generation that the engine runs.
     pub generation: Generation,
-    /// Whether the engine takes requests.
+    /// Whether the engine accepts requests.
     pub ready: bool,
-    /// The members that the engine is in touch with.
+    /// The members that the engine is connected to.
     pub members: IndexMap<VmId, MemberReport>,
 }
 
-/// What a group's front said about one member.
+/// The state of one member, as reported by the group's endpoint.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct MemberReport {
-    /// The engine life that the member joined.
+    /// The incarnation of the engine that the member joined.
     pub incarnation: Incarnation,
     /// The generation that the member runs.
     pub generation: Generation,
-    /// Whether it holds its part of the model and takes work.
+    /// Whether it has loaded its part of the model and accepts work.
     pub ready: bool,
 }
 
-/// Whether a group may be given work, and if not, why.
+/// Whether work may be sent to a group, and if not, why.
 #[derive(Clone, Debug, Display, Eq, PartialEq)]
 pub enum Routability {
-    /// Every member was seen ready together.
+    /// Every member was ready in the same report.
     #[display("routable at generation {generation}")]
     Routable {
-        /// The generation that requests must name.
+        /// The generation that requests must carry.
         generation: Generation,
-        /// The engine's life, by which a restart is noticed.
+        /// The incarnation of the engine, used to detect a restart.
         incarnation: Incarnation,
-        /// When this stops to hold without a newer report.
+        /// When this expires unless a newer report arrives.
         until: Timestamp,
     },
-    /// No new work may go there.
+    /// No new work may be sent to the group.
     #[display("not routable: {_0}")]
     Not(NotRoutable),
 }
 
-/// Why a group gets no work.
+/// Why a group isn't routable.
 #[derive(Clone, Debug, Display, Eq, PartialEq)]
 pub enum NotRoutable {
-    /// Nothing was heard within the validity.
+    /// There is no report that is still valid.
     #[display("no fresh report")]
     Stale,
-    /// It has fewer VMs than a replica needs.
+    /// The group has fewer VMs than a replica needs.
     #[display("{_0} VMs are missing")]
     Missing(usize),
-    /// The report is of another generation.
+    /// The report is for another generation.
     #[display("the engine runs generation {_0}")]
     OtherGeneration(Generation),
-    /// A member isn't ready in this life and generation of the engine.
+    /// A member isn't ready in this incarnation and generation of the engine.
     #[display("{_0} is not ready")]
     Member(VmId),
-    /// The engine itself takes no requests.
+    /// The engine doesn't accept requests.
     #[display("the engine is not ready")]
     Engine,
-    /// A member was seen to be lost.
+    /// A member is known to be lost.
     #[display("{_0} is lost")]
     Lost(VmId),
 }
 
 impl Routability {
-    /// Returns whether work may go there at `now`.
+    /// Returns whether work may be sent to the group at `now`.
     #[must_use]
     pub fn is_routable(&self, now: Timestamp) -> bool {
         matches!(self, Self::Routable { until, .. } if now < *until)
     }
 }
 
-/// Decides whether a group may be given work.
+/// Decides whether work may be sent to a group.
 ///
-/// A replica with a lost or stale member answers with a part of the model or hangs: callers would
-/// see cut or wrong answers. Therefore every member must be seen ready in the same generation and
-/// the same engine life, in one report that is younger than `validity`, and a member known to be
-/// lost outweighs any report.
+/// A replica with a lost or outdated member hangs or responds from only a part of the model, so callers would
+/// receive truncated or wrong responses. Therefore every member must be ready in the same generation and the
+/// same incarnation of the engine, in one report that is younger than `validity`. A member that is known to be
+/// lost takes precedence over any report.
 #[must_use]
 pub fn assess(
     assigned: &AssignedGroup,
@@ -101,7 +101,7 @@
     now: Timestamp,
     validity: Duration,
 ) -> Routability {
-    match refusal(assigned, vms_per_group, report, lost, now, validity) {
+    match check_report(assigned, vms_per_group, report, lost, now, validity) {
         Err(reason) => Routability::Not(reason),
         Ok(report) => Routability::Routable {
             generation: assigned.generation,
@@ -111,7 +111,7 @@
     }
 }
 
-fn refusal<'a>(
+fn check_report<'a>(
     assigned: &AssignedGroup,
     vms_per_group: usize,
     report: Option<&'a GroupReport>,
@@ -133,7 +133,11 @@
     if report.generation != assigned.generation {
         return Err(NotRoutable::OtherGeneration(report.generation));
     }
-    if let Some(vm) = assigned.members.iter().find(|vm| !joined(report, vm)) {
+    if let Some(vm) = assigned
+        .members
+        .iter()
+        .find(|vm| !is_member_ready(report, vm))
+    {
         return Err(NotRoutable::Member((*vm).clone()));
     }
     if !report.ready {
@@ -142,7 +146,7 @@
     Ok(report)
 }
 
-fn joined(report: &GroupReport, vm: &VmId) -> bool {
+fn is_member_ready(report: &GroupReport, vm: &VmId) -> bool {
     report.members.get(vm).is_some_and(|member| {
         member.ready
             && member.generation == report.generation
--- a/crates/sesamecart-groups/src/weights/tests.rs
+++ b/crates/sesamecart-groups/src/weights/tests.rs
@@ -1,7 +1,7 @@
 use sesamecart_property::check_property;
 use sesamecart_vocabulary::{Bytes, Weight};
 
-use super::{LoadRequest, allot};
+use super::{LoadRequest, allocate_rates};
 
 fn load(group: &str, vm: &str, remaining: u64, value: u32, urgent: bool) -> LoadRequest {
     LoadRequest {
@@ -18,7 +18,7 @@
     ($($name:ident: $loads:expr, total $total:literal => $vms:expr;)*) => {$(
         #[test]
         fn $name() {
-            let grants = allot(&$loads, Bytes($total), Bytes(10));
+            let grants = allocate_rates(&$loads, Bytes($total), Bytes(10));
             let vms: Vec<String> = grants.iter().map(|g| format!("{}:{}", g.vm, g.bytes_per_s)).collect();
             assert_eq!(vms, $vms);
         }
@@ -61,7 +61,7 @@
                 .collect();
             let total = Bytes(u64::from(*total));
             let per_vm = Bytes(u64::from(*per_vm));
-            let grants = allot(&loads, total, per_vm);
+            let grants = allocate_rates(&loads, total, per_vm);
             assert!(grants.iter().map(|grant| grant.bytes_per_s).sum::<Bytes>() <= total);
             assert!(grants.iter().all(|grant| grant.bytes_per_s <= per_vm));
             // No rate lies idle while a load could use it.
