--- a/crates/sesamecart-groups/src/assignment/tests.rs
+++ b/crates/sesamecart-groups/src/assignment/tests.rs
@@ -30,7 +30,7 @@
     }
 }
 
-macro_rules! settled {
+macro_rules! settled_cases {
     ($($name:ident: $request:expr => $settled:literal;)*) => {$(
         #[test]
         fn $name() {
@@ -39,22 +39,23 @@
     )*};
 }
 
-settled! {
-    next_generation_is_open: assign(3) => false;
-    reached_generation_is_settled: assign(2) => true;
-    member_is_still_to_be_freed: unassign("vm-1") => false;
-    freed_vm_is_settled: unassign("vm-2") => true;
+settled_cases! {
+    next_generation_is_not_settled: assign(3) => false;
+    current_generation_is_settled: assign(2) => true;
+    unassigning_a_member_is_not_settled: unassign("vm-1") => false;
+    unassigning_a_freed_vm_is_settled: unassign("vm-2") => true;
 }
 
-/// A group that was never assigned may begin in generation 0, that of an engine that runs already.
+/// A group that was never assigned may start in generation 0, the generation of an engine that is already
+/// running.
 #[test]
-fn first_assignment_is_open() {
-    let none = Assignments::default();
-    assert!(!none.has_settled(&assign(0)));
+fn first_assignment_is_not_settled() {
+    let assignments = Assignments::default();
+    assert!(!assignments.has_settled(&assign(0)));
 }
 
 #[test]
-fn owners_follow_members() {
+fn owner_is_the_group_with_the_member() {
     let assignments = assignments();
     assert_eq!(
         assignments.owner(&"vm-1".parse().unwrap()),
--- a/crates/sesamecart-groups/src/controller/event.rs
+++ b/crates/sesamecart-groups/src/controller/event.rs
@@ -57,8 +57,9 @@
         /// The VM.
         vm: VmId,
     },
-    /// The bytes per second that the groups controlled by this node may load from the weight store. All owners
-    /// share the store, so the rate is lowered when the store refuses loads and raised while it doesn't.
+    /// The bytes per second that the groups controlled by this node may load from the weight store. All
+    /// owners share the store, so the rate is lowered when the store refuses loads and raised while it
+    /// doesn't.
     StoreRate(Bytes),
     /// The failure domains that operators have drained.
     Drained(IndexSet<FailureDomainId>),
--- a/crates/sesamecart-groups/src/controller/group.rs
+++ b/crates/sesamecart-groups/src/controller/group.rs
@@ -174,8 +174,8 @@
 
     /// Returns whether the engine must be ordered to start the assigned generation.
     ///
-    /// An engine of the current generation that isn't ready gets no order during the grace period: it may only
-    /// be paused, and a start would make it reload weights that it still has.
+    /// An engine of the current generation that isn't ready gets no order during the grace period: it may
+    /// only be paused, and a start would make it reload weights that it still has.
     pub(super) fn needs_start(
         &self,
         assigned: &AssignedGroup,
--- a/crates/sesamecart-groups/src/controller/loading.rs
+++ b/crates/sesamecart-groups/src/controller/loading.rs
@@ -59,8 +59,8 @@
         }
     }
 
-    /// Drops loads that are no longer wanted and starts new ones at a rate of zero, to learn from the store how
-    /// many bytes remain.
+    /// Drops loads that are no longer wanted and starts new ones at a rate of zero, to learn from the store
+    /// how many bytes remain.
     fn sync_loads(&mut self, group: &GroupId, wanted: &[WantedLoad], effects: &mut Vec<Effect>) {
         let Some((plan, _)) = self.group_and_model(group) else {
             return;
--- a/crates/sesamecart-groups/src/controller/mod.rs
+++ b/crates/sesamecart-groups/src/controller/mod.rs
@@ -26,9 +26,9 @@
 
 /// Controls the groups of the shards that this node holds.
 ///
-/// One controller manages all groups of a fabric domain, because there is one shard per fabric domain. It plans
-/// changes, sends orders and allocates load rates only on an [`Event::Tick`]. Other events update its state,
-/// publish changed routability and stop loads that are no longer needed.
+/// One controller manages all groups of a fabric domain, because there is one shard per fabric domain. It
+/// plans changes, sends orders and allocates load rates only on an [`Event::Tick`]. Other events update its
+/// state, publish changed routability and stop loads that are no longer needed.
 #[derive(Debug)]
 pub struct Controller {
     settings: GroupSettings,
@@ -353,8 +353,8 @@
         }
     }
 
-    /// Returns whether a VM is known to have failed: it isn't in the VM list any more, its load failed, or
-    /// reports missed it for the grace period.
+    /// Returns whether a VM is known to have failed: it isn't in the VM list, its load failed, or it was
+    /// missing from reports for the grace period.
     fn is_lost(&self, vm: &VmId) -> bool {
         let unlisted = self
             .vm_list
--- a/crates/sesamecart-groups/src/controller/planning.rs
+++ b/crates/sesamecart-groups/src/controller/planning.rs
@@ -61,12 +61,12 @@
                 continue;
             };
             let has_timed_out = now.since(control.controlled_since) >= self.settings.append_timeout;
-            let is_known = control.report.is_some() || has_timed_out;
+            let may_assign = control.report.is_some() || has_timed_out;
             let are_vms_free = plan
                 .vms
                 .iter()
                 .all(|vm| self.assignments.owner(vm).is_none());
-            if !is_known || !are_vms_free {
+            if !may_assign || !are_vms_free {
                 continue;
             }
             let serving = control.find_serving_generation(&plan.vms);
@@ -206,7 +206,8 @@
         })
     }
 
-    /// Counts the serving replicas of each model. Replicas controlled by other nodes are assumed to be serving.
+    /// Counts the serving replicas of each model. Replicas controlled by other nodes are assumed to be
+    /// serving.
     fn serving_replicas(&self) -> IndexMap<ModelId, u64> {
         let mut serving = self.replica_counts.clone();
         for (group, control) in &self.groups {
--- a/crates/sesamecart-groups/src/controller/tests/world.rs
+++ b/crates/sesamecart-groups/src/controller/tests/simulation.rs
@@ -1,4 +1,4 @@
-//! Two groups of three VMs and a spare in one fabric domain, in virtual time.
+//! Simulates two groups of three VMs and a spare in one fabric domain, in virtual time.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,11 +21,11 @@
 pub(super) const ENGINE_START: Duration = Duration::from_secs(4);
 const VM_RATE: Bytes = Bytes(10);
 const BYTES_PER_VM: Bytes = Bytes(50);
-const STEP: Duration = Duration::from_secs(1);
+const TICK_INTERVAL: Duration = Duration::from_secs(1);
 const VMS: [&str; 7] = ["a-0", "a-1", "a-2", "b-0", "b-1", "b-2", "spare-1"];
 
-/// An order as it was given, and what became of it.
-pub(super) struct Given {
+/// An order that was sent, and its outcome.
+pub(super) struct SentOrder {
     pub(super) epoch: Epoch,
     pub(super) kind: OrderKind,
     pub(super) answer: OrderAnswer,
@@ -33,40 +33,40 @@
 
 struct Engine {
     generation: Generation,
-    life: Incarnation,
+    incarnation: Incarnation,
     members: Vec<VmId>,
-    /// When it is ready; never, once a member has died.
+    /// When it becomes ready; never if a member has failed.
     ready_at: Timestamp,
 }
 
-/// A load and what is left of it.
-struct Loaded {
+/// A load and its remaining bytes.
+struct LoadState {
     group: GroupId,
     version: String,
     remaining: Bytes,
 }
 
-/// Everything that the controller talks to.
-pub(super) struct World {
+/// The controller and the simulated systems that it interacts with.
+pub(super) struct Simulation {
     pub(super) controller: Controller,
     pub(super) list: IndexMap<VmId, VmState>,
-    pub(super) orders: Vec<Given>,
+    pub(super) orders: Vec<SentOrder>,
     pub(super) granted: IndexMap<VmId, Bytes>,
     now: Timestamp,
     fold: Fold,
     fleet: Fleet,
     engines: IndexMap<GroupId, Engine>,
-    loaded: IndexMap<VmId, Loaded>,
+    loads: IndexMap<VmId, LoadState>,
     dead: IndexSet<VmId>,
     paused: IndexMap<VmId, Timestamp>,
-    /// The newest report of each group, and whether the group was whole then.
+    /// When the newest report of each group was requested, and whether the group was complete then.
     reported: IndexMap<GroupId, (Timestamp, bool)>,
-    /// What an endpoint that checks has seen.
+    /// The highest epoch that the endpoints have seen.
     newest_epoch: Epoch,
 }
 
-impl World {
-    /// Starts both groups and waits until they serve.
+impl Simulation {
+    /// Starts both groups and waits until they are serving.
     pub(super) fn running() -> Self {
         let fleet = fleet();
         let settings = GroupSettings {
@@ -74,7 +74,7 @@
             vm_rate: VM_RATE,
             ..GroupSettings::default()
         };
-        let mut world = Self {
+        let mut sim = Self {
             controller: Controller::new(settings),
             list: VMS.map(|vm| (vm.parse().unwrap(), VmState::Live)).into(),
             orders: Vec::new(),
@@ -83,23 +83,23 @@
             fold: Fold::new(),
             fleet,
             engines: IndexMap::new(),
-            loaded: IndexMap::new(),
+            loads: IndexMap::new(),
             dead: IndexSet::new(),
             paused: IndexMap::new(),
             reported: IndexMap::new(),
             newest_epoch: Epoch(0),
         };
-        world.publish();
-        let epoch = world.claim(None);
-        world.tell(Event::Fleet(Arc::new(world.fleet.clone())));
-        world.tell(Event::EpochGained {
+        sim.publish_configuration();
+        let epoch = sim.claim(None);
+        sim.dispatch(Event::Fleet(Arc::new(sim.fleet.clone())));
+        sim.dispatch(Event::EpochGained {
             shard: shard(),
             epoch,
         });
-        world.run(Duration::from_secs(40));
-        assert!(world.is_routable("a") && world.is_routable("b"));
-        world.orders.clear();
-        world
+        sim.run(Duration::from_secs(40));
+        assert!(sim.is_routable("a") && sim.is_routable("b"));
+        sim.orders.clear();
+        sim
     }
 
     pub(super) fn kill(&mut self, vm: &str) {
@@ -112,7 +112,7 @@
             engine.ready_at = Timestamp::NEVER;
         }
         self.list.swap_remove(&vm);
-        self.loaded.swap_remove(&vm);
+        self.loads.swap_remove(&vm);
         self.granted.swap_remove(&vm);
         self.dead.insert(vm);
     }
@@ -127,7 +127,7 @@
         self.list.insert(vm, VmState::Live);
     }
 
-    pub(super) fn random_fault(&mut self, kind: u8, target: u8) {
+    pub(super) fn inject_fault(&mut self, kind: u8, target: u8) {
         let vm = VMS[usize::from(target) % VMS.len()];
         match kind % 6 {
             0 => self.kill(vm),
@@ -137,8 +137,8 @@
                 self.list.insert(vm.parse().unwrap(), VmState::Leaving);
             }
             _ => {
-                let epoch = self.claim(Some(self.newest_claim()));
-                self.tell(Event::EpochGained {
+                let epoch = self.claim(Some(self.current_epoch()));
+                self.dispatch(Event::EpochGained {
                     shard: shard(),
                     epoch,
                 });
@@ -146,18 +146,18 @@
         }
     }
 
-    /// Another node claims the shard, and the controller isn't told.
-    pub(super) fn take_shard_away(&mut self) {
-        self.newest_epoch = self.claim(Some(self.newest_claim()));
+    /// Claims the shard for another owner without notifying the controller.
+    pub(super) fn claim_shard_for_another_owner(&mut self) {
+        self.newest_epoch = self.claim(Some(self.current_epoch()));
     }
 
     pub(super) fn lose_shard(&mut self) {
-        self.tell(Event::EpochLost(shard()));
+        self.dispatch(Event::EpochLost(shard()));
     }
 
     pub(super) fn publish_version(&mut self, version: &str) {
         self.fleet.models[0].version = version.to_owned();
-        self.tell(Event::Fleet(Arc::new(self.fleet.clone())));
+        self.dispatch(Event::Fleet(Arc::new(self.fleet.clone())));
     }
 
     pub(super) fn members(&self, group: &str) -> Vec<VmId> {
@@ -177,43 +177,43 @@
         routability.is_some_and(|routability| routability.is_routable(self.now))
     }
 
-    pub(super) fn was_whole_when_asked(&self, group: &str) -> bool {
-        let (asked_at, whole) = self.reported[&group.parse::<GroupId>().unwrap()];
-        whole && self.now.since(asked_at) < GroupSettings::default().validity
+    pub(super) fn was_complete_when_polled(&self, group: &str) -> bool {
+        let (asked_at, is_complete) = self.reported[&group.parse::<GroupId>().unwrap()];
+        is_complete && self.now.since(asked_at) < GroupSettings::default().validity
     }
 
     pub(super) fn run(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
-            self.now = self.now + STEP;
+            self.now = self.now + TICK_INTERVAL;
             self.step();
         }
     }
 
     fn step(&mut self) {
         self.advance_loads();
-        self.tell(Event::VmList(self.list.clone()));
+        self.dispatch(Event::VmList(self.list.clone()));
         let groups: Vec<GroupId> = self.fleet.groups.keys().cloned().collect();
         for group in groups {
             if let Some(report) = self.report(&group) {
-                let whole = report.ready && report.members.len() == 3;
-                self.reported.insert(group, (self.now, whole));
-                self.tell(Event::Report(report));
+                let is_complete = report.ready && report.members.len() == 3;
+                self.reported.insert(group, (self.now, is_complete));
+                self.dispatch(Event::Report(report));
             }
         }
-        self.tell(Event::Tick);
+        self.dispatch(Event::Tick);
     }
 
-    fn tell(&mut self, event: Event) {
+    fn dispatch(&mut self, event: Event) {
         for effect in self.controller.handle(event, self.now) {
-            self.carry_out(effect);
+            self.execute(effect);
         }
     }
 
-    fn carry_out(&mut self, effect: Effect) {
+    fn execute(&mut self, effect: Effect) {
         match effect {
             Effect::Append(request) => self.append_request(request),
-            Effect::Order(order) => self.take_order(order),
+            Effect::Order(order) => self.receive_order(order),
             Effect::Load {
                 group,
                 vm,
@@ -221,7 +221,7 @@
                 bytes_per_s,
                 ..
             } => {
-                self.load(group, vm, version, bytes_per_s);
+                self.start_load(group, vm, version, bytes_per_s);
             }
             Effect::Publish { .. } => {}
         }
@@ -235,14 +235,14 @@
             .copied()
             .unwrap_or_default();
         let record = request.clone().into_record(shard_epoch);
-        if let Applied::Rejected(_) = self.append(&record) {
-            self.tell(Event::Rejected(request));
+        if let Applied::Rejected(_) = self.append_record(&record) {
+            self.dispatch(Event::Rejected(request));
         }
         let assignments = self.assignments();
-        self.tell(Event::Assignments(Arc::new(assignments)));
+        self.dispatch(Event::Assignments(Arc::new(assignments)));
     }
 
-    fn append(&mut self, record: &Record) -> Applied {
+    fn append_record(&mut self, record: &Record) -> Applied {
         let next = self.fold.state().next_offset;
         self.fold.apply(next, next.0, &record.encode())
     }
@@ -260,28 +260,33 @@
         Assignments::new(state.generations.iter().map(group).collect())
     }
 
-    fn take_order(&mut self, order: FencedOrder) {
+    fn receive_order(&mut self, order: FencedOrder) {
         let members = self.members(order.group.as_str());
-        let holds = |vm: &VmId| {
-            let loaded = self.loaded.get(vm);
-            loaded.is_some_and(|l| l.group == order.group && l.remaining == Bytes(0))
+        let has_loaded = |vm: &VmId| {
+            let load = self.loads.get(vm);
+            load.is_some_and(|l| l.group == order.group && l.remaining == Bytes(0))
         };
         let answer = if order.epoch < self.newest_epoch {
             OrderAnswer::Fenced(self.newest_epoch)
-        } else if members.first().is_none_or(|front| !self.works(front)) {
+        } else if members
+            .first()
+            .is_none_or(|first| !self.is_responsive(first))
+        {
             OrderAnswer::Unclear
         } else {
             self.newest_epoch = order.epoch;
-            let starts = members.iter().all(|vm| self.works(vm) && holds(vm));
-            let life = self
+            let can_start = members
+                .iter()
+                .all(|vm| self.is_responsive(vm) && has_loaded(vm));
+            let incarnation = self
                 .engines
                 .get(&order.group)
-                .map_or(0, |engine| engine.life.0);
+                .map_or(0, |engine| engine.incarnation.0);
             let engine = Engine {
                 generation: order.generation,
-                life: Incarnation(life + 1),
+                incarnation: Incarnation(incarnation + 1),
                 members,
-                ready_at: if starts {
+                ready_at: if can_start {
                     self.now + ENGINE_START
                 } else {
                     Timestamp::NEVER
@@ -290,59 +295,59 @@
             self.engines.insert(order.group.clone(), engine);
             OrderAnswer::Taken
         };
-        self.orders.push(Given {
+        self.orders.push(SentOrder {
             epoch: order.epoch,
             kind: order.kind,
             answer,
         });
-        self.tell(Event::OrderAnswered {
+        self.dispatch(Event::OrderAnswered {
             group: order.group,
             answer,
         });
     }
 
-    fn load(&mut self, group: GroupId, vm: VmId, version: String, rate: Bytes) {
+    fn start_load(&mut self, group: GroupId, vm: VmId, version: String, rate: Bytes) {
         if self.dead.contains(&vm) {
-            self.tell(Event::LoadFailed { group, vm });
+            self.dispatch(Event::LoadFailed { group, vm });
             return;
         }
-        let same = |l: &Loaded| l.group == group && l.version == version;
-        if !self.loaded.get(&vm).is_some_and(same) {
-            let loaded = Loaded {
+        let is_same = |l: &LoadState| l.group == group && l.version == version;
+        if !self.loads.get(&vm).is_some_and(is_same) {
+            let load = LoadState {
                 group,
                 version,
                 remaining: BYTES_PER_VM,
             };
-            self.loaded.insert(vm.clone(), loaded);
+            self.loads.insert(vm.clone(), load);
         }
         self.granted.insert(vm.clone(), rate);
-        self.tell_progress(&vm);
+        self.dispatch_progress(&vm);
     }
 
     fn advance_loads(&mut self) {
         let loading: Vec<VmId> = self.granted.keys().cloned().collect();
         for vm in loading {
             let rate = self.granted[&vm];
-            let Some(loaded) = self.loaded.get_mut(&vm) else {
+            let Some(load) = self.loads.get_mut(&vm) else {
                 continue;
             };
-            loaded.remaining = loaded.remaining.saturating_sub(rate);
-            if loaded.remaining == Bytes(0) {
+            load.remaining = load.remaining.saturating_sub(rate);
+            if load.remaining == Bytes(0) {
                 self.granted.swap_remove(&vm);
             }
-            self.tell_progress(&vm);
+            self.dispatch_progress(&vm);
         }
     }
 
-    fn tell_progress(&mut self, vm: &VmId) {
-        let loaded = &self.loaded[vm];
+    fn dispatch_progress(&mut self, vm: &VmId) {
+        let load = &self.loads[vm];
         let event = Event::LoadProgress {
-            group: loaded.group.clone(),
+            group: load.group.clone(),
             vm: vm.clone(),
-            version: loaded.version.clone(),
-            remaining: loaded.remaining,
+            version: load.version.clone(),
+            remaining: load.remaining,
         };
-        self.tell(event);
+        self.dispatch(event);
     }
 
     fn report(&self, group: &GroupId) -> Option<GroupReport> {
@@ -356,37 +361,37 @@
                 members: IndexMap::new(),
             });
         };
-        if !self.works(engine.members.first()?) {
+        if !self.is_responsive(engine.members.first()?) {
             return None;
         }
         let ready = engine.ready_at <= self.now;
         let member = MemberReport {
-            incarnation: engine.life,
+            incarnation: engine.incarnation,
             generation: engine.generation,
             ready,
         };
-        let seen = engine.members.iter().filter(|vm| self.works(vm));
+        let responsive = engine.members.iter().filter(|vm| self.is_responsive(vm));
         Some(GroupReport {
             group: group.clone(),
             asked_at: self.now,
-            incarnation: engine.life,
+            incarnation: engine.incarnation,
             generation: engine.generation,
             ready,
-            members: seen.map(|vm| (vm.clone(), member)).collect(),
+            members: responsive.map(|vm| (vm.clone(), member)).collect(),
         })
     }
 
-    fn works(&self, vm: &VmId) -> bool {
+    fn is_responsive(&self, vm: &VmId) -> bool {
         let paused = self.paused.get(vm).is_some_and(|until| self.now < *until);
         !paused && !self.dead.contains(vm)
     }
 
-    fn newest_claim(&self) -> Epoch {
+    fn current_epoch(&self) -> Epoch {
         self.fold.state().epoch(shard()).unwrap()
     }
 
     fn claim(&mut self, builds_on: Option<Epoch>) -> Epoch {
-        let applied = self.append(&Record::Claim {
+        let applied = self.append_record(&Record::Claim {
             shard: shard(),
             holder: "node-1".parse().unwrap(),
             incarnation: Incarnation(1),
@@ -394,12 +399,12 @@
             voters: Vec::new(),
         });
         let Applied::Claimed { epoch, .. } = applied else {
-            panic!("the claim builds on the newest, but: {applied:?}");
+            panic!("a claim that builds on the newest one was rejected: {applied:?}");
         };
         epoch
     }
 
-    fn publish(&mut self) {
+    fn publish_configuration(&mut self) {
         let mut cfg = Configuration::default();
         let domain = FailureDomain {
             region: "r".parse().unwrap(),
@@ -425,7 +430,7 @@
             };
             cfg.groups.insert(id.clone(), group);
         }
-        self.append(&Record::Publish {
+        self.append_record(&Record::Publish {
             publish_id: "p".parse().unwrap(),
             base_revision: Revision(0),
             author: "planner".to_owned(),
--- a/crates/sesamecart-groups/src/order/tests.rs
+++ b/crates/sesamecart-groups/src/order/tests.rs
@@ -4,67 +4,66 @@
 
 use super::{OrderAnswer, OrderSequencer};
 
-const LONGEST: Duration = Duration::from_secs(10);
+const MAX_ORDER_LATENCY: Duration = Duration::from_secs(10);
 
 fn at(seconds: u64) -> Timestamp {
     Timestamp::from_millis(seconds * 1_000)
 }
 
-/// The old owner paused with an order under way to an endpoint that ignores the fencing number. If
-/// the new owner ordered at once, the late order would undo its own, and the group would start the
-/// wrong members.
+/// The previous owner was paused with an order in flight to an endpoint that ignores the fencing token. If
+/// the new owner sent an order immediately, the late order could override it and start the wrong members.
 #[test]
-fn unchecked_endpoint_waits_out_the_longest_order() {
+fn new_owner_waits_for_in_flight_orders_without_epoch_check() {
     let mut sequencer = OrderSequencer::default();
-    sequencer.acquire_epoch(Epoch(5), false, LONGEST, at(100));
+    sequencer.acquire_epoch(Epoch(5), false, MAX_ORDER_LATENCY, at(100));
     sequencer.record_state_read(at(101));
     assert_eq!(sequencer.sendable_epoch(at(105)), None);
     assert_eq!(
         sequencer.sendable_epoch(at(110)),
         None,
-        "the state was read before the wait was over"
+        "the state was read before the wait ended"
     );
     sequencer.record_state_read(at(110));
     assert_eq!(sequencer.sendable_epoch(at(110)), Some(Epoch(5)));
 }
 
 #[test]
-fn checking_endpoint_needs_only_a_read() {
+fn new_owner_only_reads_state_with_epoch_check() {
     let mut sequencer = OrderSequencer::default();
-    sequencer.acquire_epoch(Epoch(5), true, LONGEST, at(100));
+    sequencer.acquire_epoch(Epoch(5), true, MAX_ORDER_LATENCY, at(100));
     assert_eq!(sequencer.sendable_epoch(at(100)), None);
     sequencer.record_state_read(at(100));
     assert_eq!(sequencer.sendable_epoch(at(100)), Some(Epoch(5)));
 }
 
 #[test]
-fn one_order_at_a_time() {
+fn only_one_order_is_in_flight() {
     let mut sequencer = OrderSequencer::default();
-    sequencer.acquire_epoch(Epoch(5), true, LONGEST, at(0));
+    sequencer.acquire_epoch(Epoch(5), true, MAX_ORDER_LATENCY, at(0));
     sequencer.record_state_read(at(0));
     sequencer.record_sent(at(1));
     assert_eq!(sequencer.sendable_epoch(at(2)), None);
-    sequencer.expire_in_flight(LONGEST, at(11));
+    sequencer.expire_in_flight(MAX_ORDER_LATENCY, at(11));
     assert_eq!(sequencer.sendable_epoch(at(11)), Some(Epoch(5)));
 }
 
-/// The holder was paused, another took the shard, and the endpoint has its order. Orders under the
-/// old epoch must end, or operators see the two undo each other.
+/// The owner was paused, another node took over the shard, and the endpoint received an order of the new
+/// owner. Orders under the old epoch must stop, or the two owners would undo each other's changes.
 #[test]
-fn fenced_desk_sends_nothing_more() {
+fn fenced_epoch_sends_no_more_orders() {
     let mut sequencer = OrderSequencer::default();
-    sequencer.acquire_epoch(Epoch(5), true, LONGEST, at(0));
+    sequencer.acquire_epoch(Epoch(5), true, MAX_ORDER_LATENCY, at(0));
     sequencer.record_state_read(at(0));
     sequencer.record_answer(OrderAnswer::Fenced(Epoch(9)));
     assert_eq!(sequencer.sendable_epoch(at(1)), None);
-    sequencer.acquire_epoch(Epoch(7), true, LONGEST, at(2));
+    sequencer.acquire_epoch(Epoch(7), true, MAX_ORDER_LATENCY, at(2));
     sequencer.record_state_read(at(2));
     assert_eq!(
         sequencer.sendable_epoch(at(2)),
         None,
-        "an epoch below one that was seen is past"
+        "an epoch below one that the endpoint has seen is outdated"
     );
-    sequencer.acquire_epoch(Epoch(12), true, LONGEST, at(3));
+    sequencer.acquire_epoch(Epoch(12), true, MAX_ORDER_LATENCY, at(3));
     sequencer.record_state_read(at(3));
     assert_eq!(sequencer.sendable_epoch(at(3)), Some(Epoch(12)));
 }
--- a/crates/sesamecart-groups/src/repair.rs
+++ b/crates/sesamecart-groups/src/repair.rs
@@ -17,7 +17,8 @@
     /// The group.
     pub group: GroupId,
     /// The value that the group adds to its model's service: the model's value divided by the number of
-    /// serving replicas, with this one included, on a fixed-point scale.
+    /// serving replicas, with this one included, on a fixed-point scale. It is high when few replicas of a
+    /// valuable model remain.
     pub marginal_value: u64,
     /// The number of VMs of a complete replica.
     pub size: usize,
@@ -82,8 +83,8 @@
 
 /// Plans repairs of one fabric domain. Each repair completes its group.
 ///
-/// Groups are repaired by descending marginal value, and among equals by the fewest missing VMs, because these
-/// need the fewest VMs. A group that can't be completed acquires nothing: a spare in a group that stays
+/// Groups are repaired by descending marginal value, and among equals by the fewest missing VMs, because
+/// these need the fewest VMs. A group that can't be completed acquires nothing: a spare in a group that stays
 /// incomplete would be idle.
 #[must_use]
 pub fn plan_repairs(view: &RepairView, settings: &RepairSettings) -> Vec<Repair> {
@@ -226,11 +227,12 @@
         }
     }
 
-    /// Acquires the VMs of the serving group with the lowest marginal value, if that of `group` is much higher.
+    /// Acquires the VMs of the serving group with the lowest marginal value, if that of `group` is much
+    /// higher.
     ///
-    /// This is done only for a model with at most one other serving replica. Each preemption causes downtime of
-    /// a load and an engine start that callers wouldn't otherwise see. For models with more replicas this cost
-    /// more service than it restored.
+    /// This is done only for a model with at most one other serving replica. Each preemption causes downtime
+    /// of a load and an engine start that callers wouldn't otherwise see. For models with more replicas this
+    /// cost more service than it restored.
     fn acquire_from_serving(
         &self,
         needed: usize,
--- a/crates/sesamecart-groups/src/repair/tests.rs
+++ b/crates/sesamecart-groups/src/repair/tests.rs
@@ -12,7 +12,7 @@
         .collect()
 }
 
-/// A group of three VMs that is out.
+/// A group of three VMs that isn't serving.
 fn broken(name: &str, marginal_value: u64, usable: &str, lost: &str) -> GroupHealth {
     GroupHealth {
         group: name.parse().unwrap(),
@@ -43,7 +43,7 @@
 }
 
 /// A group whose model has many other replicas.
-fn plenty(group: GroupHealth) -> GroupHealth {
+fn with_many_replicas(group: GroupHealth) -> GroupHealth {
     GroupHealth {
         scarce: false,
         ..group
@@ -58,8 +58,8 @@
     }
 }
 
-fn words(repairs: &[super::Repair]) -> Vec<String> {
-    let adopted = |repair: &super::Repair| {
+fn summaries(repairs: &[super::Repair]) -> Vec<String> {
+    let acquired_vms = |repair: &super::Repair| {
         let acquire = repair.acquire.iter().map(|acquired| match &acquired.from {
             Some(from) => format!("{}<{from}", acquired.vm),
             None => acquired.vm.to_string(),
@@ -68,45 +68,45 @@
     };
     repairs
         .iter()
-        .map(|r| format!("{}+{}", r.group, adopted(r)))
+        .map(|r| format!("{}+{}", r.group, acquired_vms(r)))
         .collect()
 }
 
-macro_rules! repaired {
-    ($($name:ident: $groups:expr, free $free:literal => $words:expr;)*) => {$(
+macro_rules! repair_cases {
+    ($($name:ident: $groups:expr, free $free:literal => $summaries:expr;)*) => {$(
         #[test]
         fn $name() {
-            let expected: &[&str] = &$words;
+            let expected: &[&str] = &$summaries;
             let repairs = plan_repairs(&view($groups.into(), $free), &RepairSettings::default());
-            assert_eq!(words(&repairs), expected);
+            assert_eq!(summaries(&repairs), expected);
         }
     )*};
 }
 
-repaired! {
-    spare_first: [broken("a", 5, "a1 a2", "a3"), broken("b", 5, "b1", "b2 b3")], free "s"
+repair_cases! {
+    spares_are_used_first: [broken("a", 5, "a1 a2", "a3"), broken("b", 5, "b1", "b2 b3")], free "s"
         => ["a+s"];
-    survivors_of_another: [broken("a", 5, "a1 a2", "a3"), broken("b", 5, "b1 b2", "b3")], free ""
-        => ["a+b1<b"];
-    worthier_first: [broken("a", 5, "a1 a2", "a3"), broken("b", 6, "b1 b2", "b3")], free ""
-        => ["b+a1<a"];
-    nothing_that_stays_incomplete: [broken("a", 5, "a1", "a2 a3")], free "s" => [];
-    busy_stays: [busy(broken("a", 5, "a1 a2", "a3"))], free "s" => [];
-    equals_are_not_taken_apart: [broken("a", 5, "a1 a2", "a3"), serving("b", 5, "b1 b2 b3", "")],
+    incomplete_group_donates_vms: [broken("a", 5, "a1 a2", "a3"), broken("b", 5, "b1 b2", "b3")],
+        free "" => ["a+b1<b"];
+    higher_marginal_value_first: [broken("a", 5, "a1 a2", "a3"), broken("b", 6, "b1 b2", "b3")],
+        free "" => ["b+a1<a"];
+    no_vms_for_a_group_that_stays_incomplete: [broken("a", 5, "a1", "a2 a3")], free "s" => [];
+    busy_group_is_not_repaired: [busy(broken("a", 5, "a1 a2", "a3"))], free "s" => [];
+    group_of_equal_value_is_not_preempted: [broken("a", 5, "a1 a2", "a3"), serving("b", 5, "b1 b2 b3", "")],
         free "" => [];
-    last_replica_takes_one_of_many: [broken("a", 10, "a1 a2", "a3"), serving("b", 5, "b1 b2 b3", ""),
+    last_replica_preempts_the_lowest_value: [broken("a", 10, "a1 a2", "a3"), serving("b", 5, "b1 b2 b3", ""),
         serving("c", 2, "c1 c2 c3", "")], free "" => ["a+c1<c"];
-    many_replicas_left_take_nothing_apart: [plenty(broken("a", 10, "a1 a2", "a3")),
+    group_with_many_replicas_preempts_none: [with_many_replicas(broken("a", 10, "a1 a2", "a3")),
         serving("b", 2, "b1 b2 b3", "")], free "" => [];
-    whole_domain_lost: [broken("a", 5, "", "a1 a2 a3"), broken("b", 5, "", "b1 b2 b3")], free "" => [];
-    first_vms_back_make_one_group: [broken("a", 5, "a1", "a2 a3"), broken("b", 5, "b1", "b2 b3"),
+    lost_domain_is_not_repaired: [broken("a", 5, "", "a1 a2 a3"), broken("b", 5, "", "b1 b2 b3")], free "" => [];
+    returning_vms_complete_one_group: [broken("a", 5, "a1", "a2 a3"), broken("b", 5, "b1", "b2 b3"),
         broken("c", 5, "c1", "c2 c3")], free "" => ["a+c1<c,b1<b"];
 }
 
-/// VMs restart one after the other and come back within seconds. Taking survivors elsewhere would
-/// cost two groups a load in place of one.
+/// VMs restart one after the other and return within seconds. Moving VMs between incomplete groups would make
+/// two groups load weights instead of one.
 #[test]
-fn survivors_stay_when_return_is_quicker() {
+fn no_merge_if_lost_vms_return_sooner() {
     let settings = RepairSettings {
         expected_vm_absence: Duration::from_secs(20),
         ..RepairSettings::default()
@@ -116,27 +116,31 @@
 }
 
 #[test]
-fn leaving_vm_is_replaced_by_free_one_only() {
+fn leaving_vm_is_replaced_only_by_a_free_vm() {
     let groups = vec![
         serving("a", 5, "a1 a2", "a3"),
         serving("b", 9, "b1 b2", "b3"),
     ];
     let plans = plan_replacements(&view(groups, "s"), &RepairSettings::default());
-    assert_eq!(words(&plans), ["b+s"]);
+    assert_eq!(summaries(&plans), ["b+s"]);
 }
 
-/// Random fabric domains: every plan completes its group, no VM is given to two groups, and a
-/// serving group is taken apart only for one that is worth at least twice as much.
+/// For random fabric domains, every repair completes its group, no VM is assigned to two groups, and a
+/// serving group is preempted only for one with at least twice its marginal value.
 #[test]
-fn plans_complete_groups_without_sharing_vms() {
+fn repairs_complete_groups_without_sharing_vms() {
     check_property(
         bolero::produce::<(Vec<(u8, u8, bool)>, u8)>(),
         |(groups, free)| {
-            let group = |(index, (marginal_value, lost, serves)): (usize, &(u8, u8, bool))| {
-                let lost = if *serves { 0 } else { usize::from(lost % 4) };
+            let group = |(index, (marginal_value, lost, is_serving)): (usize, &(u8, u8, bool))| {
+                let lost = if *is_serving {
+                    0
+                } else {
+                    usize::from(lost % 4)
+                };
                 let names: Vec<String> = (0..3).map(|vm| format!("vm-{index}-{vm}")).collect();
                 GroupHealth {
-                    serving: *serves,
+                    serving: *is_serving,
                     ..broken(
                         &format!("g-{index}"),
                         u64::from(*marginal_value),
@@ -148,12 +152,12 @@
             let groups: Vec<GroupHealth> = groups.iter().take(12).enumerate().map(group).collect();
             let free: Vec<String> = (0..free % 4).map(|vm| format!("free-{vm}")).collect();
             let view = view(groups, &free.join(" "));
-            check_plans(&view);
+            check_repairs(&view);
         },
     );
 }
 
-fn check_plans(view: &RepairView) {
+fn check_repairs(view: &RepairView) {
     let mut used = indexmap::IndexSet::new();
     let find = |group| view.groups.iter().find(|g| g.group == group).unwrap();
     for repair in plan_repairs(view, &RepairSettings::default()) {
--- a/crates/sesamecart-groups/src/rollout/tests.rs
+++ b/crates/sesamecart-groups/src/rollout/tests.rs
@@ -1,6 +1,6 @@
 use super::{Replica, next_to_update};
 
-/// Reads replicas such as "a+" (serves), "a-" (doesn't), with `*` current and `~` changing.
+/// Parses replicas such as "a+" (serving) or "a-" (not serving); `*` marks up to date and `~` updating.
 fn replicas(text: &str) -> Vec<Replica> {
     text.split_whitespace()
         .map(|word| Replica {
@@ -12,7 +12,7 @@
         .collect()
 }
 
-macro_rules! next {
+macro_rules! next_cases {
     ($($name:ident: $replicas:literal => $next:expr;)*) => {$(
         #[test]
         fn $name() {
@@ -23,12 +23,12 @@
     )*};
 }
 
-next! {
-    first_of_two_serving: "a+ b+" => Some("a");
-    one_at_a_time: "a-*~ b+" => None;
-    idle_first: "a+ b- c+" => Some("b");
-    last_serving_stays: "a+ b-*" => None;
-    last_goes_once_another_serves: "a+*  b+" => Some("b");
-    single_replica_goes: "a+" => Some("a");
-    all_current: "a+* b+*" => None;
+next_cases! {
+    first_of_two_serving_replicas_is_updated: "a+ b+" => Some("a");
+    only_one_replica_is_updated_at_a_time: "a-*~ b+" => None;
+    replica_that_is_not_serving_is_first: "a+ b- c+" => Some("b");
+    last_serving_replica_is_not_updated: "a+ b-*" => None;
+    outdated_replica_is_updated_once_another_serves: "a+*  b+" => Some("b");
+    only_replica_is_updated: "a+" => Some("a");
+    no_update_if_all_are_up_to_date: "a+* b+*" => None;
 }
--- a/crates/sesamecart-groups/src/settings.rs
+++ b/crates/sesamecart-groups/src/settings.rs
@@ -21,7 +21,8 @@
     pub append_timeout: Duration,
     /// How long an engine may take to start before the start order is sent again.
     pub start_timeout: Duration,
-    /// How long a VM counts as lost, and isn't selected again, after its load failed or reports missed it.
+    /// How long a VM counts as lost, and isn't selected again, after its load failed or it was missing from
+    /// reports.
     pub suspect_duration: Duration,
     /// Bytes per second that all groups controlled by this node may load from the weight store.
     pub store_rate: Bytes,
--- a/crates/sesamecart-groups/src/state/tests.rs
+++ b/crates/sesamecart-groups/src/state/tests.rs
@@ -6,7 +6,7 @@
 use crate::assignment::AssignedGroup;
 
 const VALIDITY: Duration = Duration::from_secs(3);
-const ASKED: Timestamp = Timestamp::from_millis(10_000);
+const ASKED_AT: Timestamp = Timestamp::from_millis(10_000);
 
 fn assigned() -> AssignedGroup {
     AssignedGroup {
@@ -16,7 +16,7 @@
     }
 }
 
-fn whole() -> GroupReport {
+fn complete_report() -> GroupReport {
     let member = MemberReport {
         incarnation: Incarnation(7),
         generation: Generation(2),
@@ -24,7 +24,7 @@
     };
     GroupReport {
         group: "g".parse().unwrap(),
-        asked_at: ASKED,
+        asked_at: ASKED_AT,
         incarnation: Incarnation(7),
         generation: Generation(2),
         ready: true,
@@ -34,64 +34,85 @@
     }
 }
 
-/// Each case changes a whole group's report and says why the group gets no work then.
-macro_rules! refused {
+/// Each case changes the report of a complete group and gives the reason why the group isn't routable.
+macro_rules! not_routable_cases {
     ($($name:ident: $change:expr => $reason:expr;)*) => {$(
         #[test]
         fn $name() {
-            let mut report = whole();
+            let mut report = complete_report();
             let change: fn(&mut GroupReport) = $change;
             change(&mut report);
             let now = Timestamp::from_millis(11_000);
-            let got = assess(&assigned(), 2, Some(&report), &[].into(), now, VALIDITY);
-            assert_eq!(got, Routability::Not($reason));
+            let routability = assess(&assigned(), 2, Some(&report), &[].into(), now, VALIDITY);
+            assert_eq!(routability, Routability::Not($reason));
         }
     )*};
 }
 
-refused! {
+not_routable_cases! {
     engine_not_ready: |r| r.ready = false => NotRoutable::Engine;
     member_not_ready: |r| r.members[1].ready = false => NotRoutable::Member("vm-2".parse().unwrap());
-    member_not_seen: |r| { r.members.pop(); } => NotRoutable::Member("vm-2".parse().unwrap());
+    member_missing_from_report: |r| { r.members.pop(); } => NotRoutable::Member("vm-2".parse().unwrap());
     member_of_other_generation: |r| r.members[0].generation = Generation(1)
         => NotRoutable::Member("vm-1".parse().unwrap());
-    member_of_other_life: |r| r.members[0].incarnation = Incarnation(6)
+    member_of_other_incarnation: |r| r.members[0].incarnation = Incarnation(6)
         => NotRoutable::Member("vm-1".parse().unwrap());
-    answer_of_older_generation: |r| r.generation = Generation(1)
+    report_of_older_generation: |r| r.generation = Generation(1)
         => NotRoutable::OtherGeneration(Generation(1));
-    answer_of_newer_generation: |r| r.generation = Generation(3)
+    report_of_newer_generation: |r| r.generation = Generation(3)
         => NotRoutable::OtherGeneration(Generation(3));
-    answer_too_old: |r| r.asked_at = Timestamp::from_millis(8_000) => NotRoutable::Stale;
+    report_expired: |r| r.asked_at = Timestamp::from_millis(8_000) => NotRoutable::Stale;
 }
 
 #[test]
-fn whole_group_is_routable_until_validity_ends() {
+fn complete_group_is_routable_until_the_report_expires() {
     let now = Timestamp::from_millis(11_000);
-    let got = assess(&assigned(), 2, Some(&whole()), &[].into(), now, VALIDITY);
-    assert!(got.is_routable(now));
-    assert!(!got.is_routable(ASKED + VALIDITY));
+    let routability = assess(
+        &assigned(),
+        2,
+        Some(&complete_report()),
+        &[].into(),
+        now,
+        VALIDITY,
+    );
+    assert!(routability.is_routable(now));
+    assert!(!routability.is_routable(ASKED_AT + VALIDITY));
 }
 
-/// A member dies right after it answered. Until the report runs out, callers would be sent to a
-/// replica that hangs, so word of the loss must outweigh the report.
+/// A member fails right after it responded. Until the report expires, callers would be routed to a replica
+/// that hangs, so a known loss must take precedence over the report.
 #[test]
-fn lost_member_outweighs_fresh_report() {
+fn lost_member_takes_precedence_over_valid_report() {
     let lost = ["vm-2"].map(|vm| vm.parse().unwrap()).into();
     let now = Timestamp::from_millis(10_001);
-    let got = assess(&assigned(), 2, Some(&whole()), &lost, now, VALIDITY);
+    let routability = assess(
+        &assigned(),
+        2,
+        Some(&complete_report()),
+        &lost,
+        now,
+        VALIDITY,
+    );
     assert_eq!(
-        got,
+        routability,
         Routability::Not(NotRoutable::Lost("vm-2".parse().unwrap()))
     );
 }
 
-/// A VM was taken out of the group and the rest still says that it is ready. Callers would get
-/// answers from a part of the model.
+/// A VM was removed from the group and the remaining members still report ready. Callers would receive
+/// responses from only a part of the model.
 #[test]
-fn group_with_fewer_vms_is_refused() {
-    let mut fewer = assigned();
-    fewer.members.pop();
+fn group_with_missing_vms_is_not_routable() {
+    let mut incomplete = assigned();
+    incomplete.members.pop();
     let now = Timestamp::from_millis(10_001);
-    let got = assess(&fewer, 2, Some(&whole()), &[].into(), now, VALIDITY);
-    assert_eq!(got, Routability::Not(NotRoutable::Missing(1)));
+    let routability = assess(
+        &incomplete,
+        2,
+        Some(&complete_report()),
+        &[].into(),
+        now,
+        VALIDITY,
+    );
+    assert_eq!(routability, Routability::Not(NotRoutable::Missing(1)));
 }
--- a/crates/sesamecart-groups/src/weights/tests.rs
+++ b/crates/sesamecart-groups/src/weights/tests.rs
@@ -13,8 +13,8 @@
     }
 }
 
-/// Each case lists loads and the VMs that get rate, in order.
-macro_rules! granted {
+/// Each case lists loads and the VMs that are granted a rate, in order.
+macro_rules! grant_cases {
     ($($name:ident: $loads:expr, total $total:literal => $vms:expr;)*) => {$(
         #[test]
         fn $name() {
@@ -25,35 +25,35 @@
     )*};
 }
 
-granted! {
-    least_left_first: [load("a", "a1", 90, 1, true), load("b", "b1", 30, 1, true)], total 10
+grant_cases! {
+    fewest_remaining_bytes_first: [load("a", "a1", 90, 1, true), load("b", "b1", 30, 1, true)], total 10
         => ["b1:10"];
-    whole_group_counts: [load("a", "a1", 20, 1, true), load("a", "a2", 20, 1, true),
+    remaining_bytes_are_summed_per_group: [load("a", "a1", 20, 1, true), load("a", "a2", 20, 1, true),
         load("b", "b1", 30, 1, true)], total 15 => ["b1:10", "a1:5"];
-    more_value_first: [load("a", "a1", 30, 1, true), load("b", "b1", 60, 3, true)], total 10
+    higher_value_per_byte_first: [load("a", "a1", 30, 1, true), load("b", "b1", 60, 3, true)], total 10
         => ["b1:10"];
-    urgent_before_prepared: [load("a", "a1", 1, 9, false), load("b", "b1", 90, 1, true)], total 10
+    urgent_before_prefetch: [load("a", "a1", 1, 9, false), load("b", "b1", 90, 1, true)], total 10
         => ["b1:10"];
-    done_gets_nothing: [load("a", "a1", 0, 1, true), load("b", "b1", 9, 1, true)], total 20
+    complete_load_gets_no_rate: [load("a", "a1", 0, 1, true), load("b", "b1", 9, 1, true)], total 20
         => ["b1:10"];
-    equal_by_name: [load("b", "b1", 9, 1, true), load("a", "a1", 9, 1, true)], total 10
+    ties_are_broken_by_group_id: [load("b", "b1", 9, 1, true), load("a", "a1", 9, 1, true)], total 10
         => ["a1:10"];
 }
 
 #[test]
-fn grants_never_exceed_the_rate() {
+fn grants_use_the_total_rate_and_never_exceed_it() {
     check_property(
         bolero::produce::<(Vec<(u8, u8, u16, u8, bool)>, u16, u8)>(),
         |(loads, total, per_vm)| {
             let loads: Vec<LoadRequest> = loads
                 .iter()
                 .enumerate()
-                .map(|(index, (group, _, left, value, urgent))| {
+                .map(|(index, (group, _, remaining, value, urgent))| {
                     let vm = format!("vm-{index}");
                     load(
                         &format!("g-{group}"),
                         &vm,
-                        u64::from(*left),
+                        u64::from(*remaining),
                         u32::from(*value),
                         *urgent,
                     )
@@ -64,13 +64,13 @@
             let grants = allocate_rates(&loads, total, per_vm);
             assert!(grants.iter().map(|grant| grant.bytes_per_s).sum::<Bytes>() <= total);
             assert!(grants.iter().all(|grant| grant.bytes_per_s <= per_vm));
-            // No rate lies idle while a load could use it.
-            let waiting = loads
+            // No rate is left unused while a load could use it.
+            let unfinished_loads = loads
                 .iter()
                 .filter(|load| load.remaining > Bytes(0))
                 .count() as u64;
-            let used: Bytes = grants.iter().map(|grant| grant.bytes_per_s).sum();
-            assert_eq!(used, total.min(Bytes(per_vm.0 * waiting)));
+            let granted: Bytes = grants.iter().map(|grant| grant.bytes_per_s).sum();
+            assert_eq!(granted, total.min(Bytes(per_vm.0 * unfinished_loads)));
         },
     );
 }
