--- a/crates/sesamecart-membership/src/lib.rs
+++ b/crates/sesamecart-membership/src/lib.rs
@@ -1,8 +1,7 @@
-//! Membership of nodes: heartbeats and suspicion at a bounded cost.
+//! Membership of nodes: failure detection by heartbeats and suspicion, at a bounded cost.
 //!
-//! [`Membership`] is the state machine of one node. It reads no clock and no network; the node
-//! carries its [`Probe`]s out and hands the answers back. docs/design/membership.md gives the
-//! reasons for the choices.
+//! [`Membership`] is the state machine of one node. It uses neither the clock nor the network: the node sends
+//! its [`Probe`]s and passes the replies back to it. docs/design/membership.md describes the design.
 
 mod member;
 mod membership;
--- a/crates/sesamecart-membership/src/member.rs
+++ b/crates/sesamecart-membership/src/member.rs
@@ -1,73 +1,74 @@
-//! What nodes tell each other about one node.
+//! The state of one node, as exchanged between nodes.
 
 use std::net::SocketAddr;
 
 use derive_more::Display;
 use sesamecart_vocabulary::{FailureDomainId, Incarnation, NodeId};
 
-/// What one node says about another.
+/// The status of a node, as sent in messages.
 #[derive(Clone, Copy, Debug, Display, Eq, Ord, PartialEq, PartialOrd)]
 #[display(rename_all = "lowercase")]
 pub enum Status {
-    /// It answers.
+    /// The node responds to probes.
     Alive,
-    /// A probe went unanswered; it may still refute this.
+    /// A probe failed or timed out. The node may still refute the suspicion.
     Suspected,
-    /// It said that it is about to go.
+    /// The node has announced that it is shutting down.
     Leaving,
-    /// Nobody refuted the suspicion in time.
+    /// The suspicion wasn't refuted in time, or a probe of a leaving node failed.
     Down,
 }
 
-/// What a node's peers believe of it in the end.
+/// A node's liveness, as derived from its status, its history and the platform's VM list.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
 #[display(rename_all = "lowercase")]
 pub enum Standing {
-    /// It may be given duties.
+    /// The node may own shards.
     Live,
-    /// It answers and is about to go.
+    /// The node responds and is shutting down.
     Leaving,
-    /// It doesn't answer, or answers again too shortly.
+    /// The node is down, or it returned so recently that it is still held.
     Suspected,
-    /// Besides, the platform's list has shown its VM and shows it no more, for longer than it lags.
+    /// The node is down, and its VM has been absent from the platform's list, where it once was, for longer
+    /// than the list may lag.
     Gone,
 }
 
-/// News about one node.
+/// An update about one node.
 ///
-/// Newer news have the higher incarnation, then the higher heartbeat, then the worse status. Only
-/// the node itself raises its heartbeat, which is how it refutes a suspicion.
+/// Updates are ordered by incarnation, then by heartbeat, then by status, with a worse status superseding a
+/// better one. Only the node itself increments its heartbeat, which refutes a suspicion.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Member {
     /// The node.
     pub node: NodeId,
-    /// Where it takes links.
+    /// The address at which it accepts links.
     pub address: SocketAddr,
     /// Its failure domain.
     pub failure_domain: FailureDomainId,
-    /// The life of its process.
+    /// The incarnation of its process.
     pub incarnation: Incarnation,
-    /// How often it refuted or changed its status in this life.
+    /// A counter that the node increments when it refutes a suspicion or changes its status.
     pub heartbeat: u64,
-    /// What is said of it.
+    /// Its status.
     pub status: Status,
 }
 
 impl Member {
-    /// Returns whether these news are newer than `other`.
+    /// Returns whether this update is newer than `other`.
     #[must_use]
     pub fn supersedes(&self, other: &Self) -> bool {
-        let age = |member: &Self| (member.incarnation, member.heartbeat, member.status);
-        age(self) > age(other)
+        let recency = |member: &Self| (member.incarnation, member.heartbeat, member.status);
+        recency(self) > recency(other)
     }
 }
 
-/// A node that the settings or the platform's VM list name: a place to ask, and no evidence of life.
+/// A node from the settings or the platform's VM list. It can be probed, but isn't known to be alive.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Seed {
     /// The node.
     pub node: NodeId,
-    /// Where it should take links.
+    /// The address at which it should accept links.
     pub address: SocketAddr,
     /// Its failure domain.
     pub failure_domain: FailureDomainId,
--- a/crates/sesamecart-membership/src/membership.rs
+++ b/crates/sesamecart-membership/src/membership.rs
@@ -1,4 +1,4 @@
-//! The members as one node sees them, and what it tells and asks the others.
+//! One node's view of the members, its probes and its messages.
 
 use std::time::Duration;
 
@@ -10,30 +10,30 @@
 use crate::peer::Peer;
 use crate::settings::MembershipSettings;
 
-/// A gap between two ticks above which this node itself was paused.
-const PAUSE: Duration = Duration::from_secs(2);
+/// A gap between two ticks of this length or more means that this node itself was paused.
+const LOCAL_PAUSE_THRESHOLD: Duration = Duration::from_secs(2);
 
-/// How many of its last probes a node looks at to judge whether its own links are bad.
-const HEALTH_WINDOW: u32 = 8;
+/// The number of recent probes from which a node judges the quality of its own links.
+const HEALTH_WINDOW_PROBES: u32 = 8;
 
-/// How much longer suspicions last while most of a node's own probes fail.
-const UNHEALTHY_FACTOR: u32 = 3;
+/// The factor by which suspicions are extended while most of a node's own probes fail.
+const UNHEALTHY_SUSPICION_FACTOR: u32 = 3;
 
-/// One probe in this many goes to a node that is down or was only named by a seed.
-const REVIVAL: u32 = 8;
+/// One in this many probes, on average, is sent to a node that is down or known only as a seed.
+const UNREACHABLE_PROBE_ODDS: u32 = 8;
 
-/// One place in this many in a message is kept for members without news.
+/// One in this many entries of a message is reserved for members in round-robin order.
 ///
-/// A lost domain makes news of a third of all nodes at once, and those who miss some would learn of
-/// it only after all news have been told.
-const SLICE_SHARE: usize = 3;
+/// A lost failure domain produces updates about a third of all nodes at once. Without the reserved entries, a
+/// node that missed some of them would receive them only after all updates have been transmitted.
+const ROUND_ROBIN_SHARE: usize = 3;
 
-/// What a heartbeat and its answer carry.
+/// The content of a heartbeat and of its reply.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Message {
-    /// The sender, by its own word.
+    /// The sender's own state.
     pub sender: Member,
-    /// News about a few others.
+    /// Updates about a few other nodes.
     pub members: Vec<Member>,
 }
 
@@ -46,7 +46,7 @@
     pub message: Message,
 }
 
-/// The members as one node sees them.
+/// One node's view of the members.
 #[derive(Debug)]
 pub struct Membership {
     me: Member,
@@ -55,18 +55,18 @@
     rng: Rng,
     next_probe: Timestamp,
     last_tick: Timestamp,
-    /// Peers still to be probed in this pass, so that each is probed once per pass.
-    pass: Vec<NodeId>,
+    /// Peers still to be probed in this pass over all peers, so that each is probed once per pass.
+    probe_queue: Vec<NodeId>,
     rounds: u32,
-    waiting: IndexMap<NodeId, Timestamp>,
-    /// The last probes' outcomes, one bit each: 1 failed.
-    failures: u32,
-    /// Where the next slice of members begins that are told when there are no news.
-    cursor: usize,
+    pending_probes: IndexMap<NodeId, Timestamp>,
+    /// The outcomes of the last probes, one bit each. A bit of 1 is a failure.
+    probe_failures: u32,
+    /// The index of the last member that was sent in round-robin order.
+    round_robin_cursor: usize,
 }
 
 impl Membership {
-    /// Makes the view of a node that has just started; `seed` makes its choices repeatable.
+    /// Creates the view of a node that has just started. The random choices are determined by `seed`.
     #[must_use]
     pub fn new(me: Member, settings: MembershipSettings, seed: u64, now: Timestamp) -> Self {
         Self {
@@ -76,15 +76,15 @@
             rng: Rng::with_seed(seed),
             next_probe: now,
             last_tick: now,
-            pass: Vec::new(),
+            probe_queue: Vec::new(),
             rounds: 0,
-            waiting: IndexMap::new(),
-            failures: 0,
-            cursor: 0,
+            pending_probes: IndexMap::new(),
+            probe_failures: 0,
+            round_robin_cursor: 0,
         }
     }
 
-    /// Names nodes from the settings, as places to ask.
+    /// Adds seeds, nodes that can be probed but aren't known to be alive.
     pub fn add_seeds(&mut self, seeds: impl IntoIterator<Item = Seed>) {
         for seed in seeds {
             if seed.node != self.me.node {
@@ -94,39 +94,39 @@
         }
     }
 
-    /// Takes a whole answer of the platform's VM list.
+    /// Handles a complete response of the platform's VM list.
     ///
-    /// The list lags, so that it only names places to ask, and only a node that is down by its
-    /// peers' word is taken for gone because the list shows it no more.
+    /// The list lags, so its nodes are only used as seeds, and a node that it no longer shows is considered
+    /// gone only if its peers also report it as down.
     pub fn on_list(&mut self, list: impl IntoIterator<Item = Seed>, now: Timestamp) {
         let list: Vec<Seed> = list.into_iter().collect();
         for (node, peer) in &mut self.peers {
-            let shown = list.iter().any(|seed| seed.node == *node);
-            peer.list(shown, now);
+            let is_listed = list.iter().any(|seed| seed.node == *node);
+            peer.update_listing(is_listed, now);
         }
         self.add_seeds(list.iter().cloned());
         for seed in &list {
             if let Some(peer) = self.peers.get_mut(&seed.node) {
-                peer.list(true, now);
+                peer.update_listing(true, now);
             }
         }
     }
 
-    /// Returns what this node says of itself.
+    /// Returns this node's own state, as it sends it to others.
     #[must_use]
     pub fn me(&self) -> &Member {
         &self.me
     }
 
-    /// Tells the others that this node is about to go.
+    /// Marks this node as leaving, which its next messages announce.
     pub fn leave(&mut self) {
         self.me.status = Status::Leaving;
         self.me.heartbeat += 1;
     }
 
-    /// Returns every node that was ever heard of, with what is believed of it, this node included.
+    /// Returns every known node and its standing, including this node. Seeds without an update are left out.
     pub fn members(&self, now: Timestamp) -> impl Iterator<Item = (&Member, Standing)> {
-        let mine = match self.me.status {
+        let own_standing = match self.me.status {
             Status::Leaving => Standing::Leaving,
             Status::Alive | Status::Suspected | Status::Down => Standing::Live,
         };
@@ -134,24 +134,24 @@
             let standing = peer.standing(&self.settings, now)?;
             Some((peer.member.as_ref()?, standing))
         });
-        std::iter::once((&self.me, mine)).chain(peers)
+        std::iter::once((&self.me, own_standing)).chain(peers)
     }
 
-    /// Returns what is believed of another node, if it was ever heard of.
+    /// Returns the standing of another node, if there was an update about it.
     #[must_use]
     pub fn standing(&self, node: &NodeId, now: Timestamp) -> Option<Standing> {
         self.peers.get(node)?.standing(&self.settings, now)
     }
 
-    /// Returns the life of another node's process that was last heard of.
+    /// Returns the newest known incarnation of another node.
     #[must_use]
     pub fn incarnation(&self, node: &NodeId) -> Option<Incarnation> {
         Some(self.peers.get(node)?.member.as_ref()?.incarnation)
     }
 
-    /// Does what is due: lets suspicions run out and returns the heartbeats to send.
+    /// Expires probes and suspicions and returns the heartbeats to send.
     pub fn tick(&mut self, now: Timestamp) -> Vec<Probe> {
-        self.forgive_own_pause(now);
+        self.discount_local_pause(now);
         self.expire_probes(now);
         self.expire_suspicions(now);
         if now < self.next_probe {
@@ -167,9 +167,9 @@
             if probes.iter().any(|probe: &Probe| probe.to.node == node) {
                 continue;
             }
-            self.waiting
+            self.pending_probes
                 .insert(node.clone(), now + self.settings.probe_timeout);
-            let message = self.message(&node);
+            let message = self.build_message(&node);
             probes.push(Probe {
                 to: self.peers[&node].seed.clone(),
                 message,
@@ -178,95 +178,105 @@
         probes
     }
 
-    /// Takes a heartbeat and returns the answer.
+    /// Handles a heartbeat and returns the reply.
     pub fn on_request(&mut self, message: &Message, now: Timestamp) -> Message {
-        self.take(message, now);
-        self.message(&message.sender.node)
+        self.receive(message, now);
+        self.build_message(&message.sender.node)
     }
 
-    /// Takes the answer to a heartbeat, be it late.
+    /// Handles the reply to a heartbeat, even if it is late.
     pub fn on_reply(&mut self, message: &Message, now: Timestamp) {
-        if self.waiting.swap_remove(&message.sender.node).is_some() {
-            self.failures <<= 1;
+        if self
+            .pending_probes
+            .swap_remove(&message.sender.node)
+            .is_some()
+        {
+            self.probe_failures <<= 1;
         }
-        self.take(message, now);
+        self.receive(message, now);
     }
 
-    /// Takes note that a heartbeat couldn't be sent or answered.
+    /// Records that a heartbeat couldn't be sent or wasn't answered.
     pub fn on_failure(&mut self, node: &NodeId, now: Timestamp) {
-        if self.waiting.swap_remove(node).is_some() {
+        if self.pending_probes.swap_remove(node).is_some() {
             self.suspect(node, now);
         }
     }
 
-    fn take(&mut self, message: &Message, now: Timestamp) {
+    fn receive(&mut self, message: &Message, now: Timestamp) {
         if message.sender.node == self.me.node {
             return;
         }
-        self.learn(&message.sender, now);
-        let suspicion = self.suspicion_time();
+        self.apply_update(&message.sender, now);
+        let suspicion_timeout = self.suspicion_timeout();
         if let Some(peer) = self.peers.get_mut(&message.sender.node) {
-            peer.hear(suspicion, now);
+            peer.extend_suspicion(suspicion_timeout, now);
         }
         for member in &message.members {
-            self.learn(member, now);
+            self.apply_update(member, now);
         }
     }
 
-    fn learn(&mut self, news: &Member, now: Timestamp) {
-        if news.node == self.me.node {
-            self.refute(news);
+    fn apply_update(&mut self, update: &Member, now: Timestamp) {
+        if update.node == self.me.node {
+            self.refute(update);
             return;
         }
-        let tellings = self.tellings();
-        let suspicion = self.suspicion_time();
+        let transmissions = self.transmit_limit();
+        let suspicion_timeout = self.suspicion_timeout();
         let seed = Seed {
-            node: news.node.clone(),
-            address: news.address,
-            failure_domain: news.failure_domain.clone(),
+            node: update.node.clone(),
+            address: update.address,
+            failure_domain: update.failure_domain.clone(),
         };
         let peer = self
             .peers
-            .entry(news.node.clone())
+            .entry(update.node.clone())
             .or_insert_with(|| Peer::new(seed));
-        peer.learn(news, tellings, suspicion, &self.settings, now);
+        peer.apply_update(
+            update,
+            transmissions,
+            suspicion_timeout,
+            &self.settings,
+            now,
+        );
     }
 
-    /// Answers a suspicion of this node itself with a higher heartbeat.
+    /// Refutes a suspicion of this node itself by increasing the heartbeat.
     ///
-    /// A slow link of one peer, or a pause that has passed, would otherwise take this node's shards
-    /// away although it is well.
-    fn refute(&mut self, news: &Member) {
-        let about_this_life = news.incarnation == self.me.incarnation;
-        let doubted = matches!(news.status, Status::Suspected | Status::Down);
-        if about_this_life && doubted && news.heartbeat >= self.me.heartbeat {
-            self.me.heartbeat = news.heartbeat + 1;
+    /// Otherwise a slow link of one peer, or a pause that has ended, would cause this node's shards to be
+    /// reassigned although it is healthy.
+    fn refute(&mut self, update: &Member) {
+        let is_current_incarnation = update.incarnation == self.me.incarnation;
+        let is_suspected_or_down = matches!(update.status, Status::Suspected | Status::Down);
+        if is_current_incarnation && is_suspected_or_down && update.heartbeat >= self.me.heartbeat {
+            self.me.heartbeat = update.heartbeat + 1;
         }
     }
 
-    /// Lets this node's own pause count against nobody: answers came meanwhile and weren't read.
-    fn forgive_own_pause(&mut self, now: Timestamp) {
+    /// Excludes a pause of this node from all timeouts: replies that arrived meanwhile weren't read.
+    fn discount_local_pause(&mut self, now: Timestamp) {
         let gap = now - self.last_tick;
         self.last_tick = now;
-        if gap < PAUSE {
+        if gap < LOCAL_PAUSE_THRESHOLD {
             return;
         }
-        self.waiting.clear();
+        self.pending_probes.clear();
         for peer in self.peers.values_mut() {
-            peer.deadline = peer.deadline.map(|deadline| deadline + gap);
+            peer.suspicion_deadline = peer.suspicion_deadline.map(|deadline| deadline + gap);
         }
     }
 
     fn expire_probes(&mut self, now: Timestamp) {
-        let late = |deadline: &Timestamp| now >= *deadline;
-        let late: Vec<NodeId> = self
-            .waiting
+        let is_overdue = |deadline: &Timestamp| now >= *deadline;
+        let overdue: Vec<NodeId> = self
+            .pending_probes
             .iter()
-            .filter(|(_, deadline)| late(deadline))
+            .filter(|(_, deadline)| is_overdue(deadline))
             .map(|(node, _)| node.clone())
             .collect();
-        for node in late {
-            self.waiting.swap_remove(&node);
+        for node in overdue {
+            self.pending_probes.swap_remove(&node);
             self.suspect(&node, now);
         }
     }
@@ -278,29 +288,32 @@
         if member.status == Status::Down {
             return;
         }
-        self.failures = self.failures << 1 | 1;
-        let news = Member {
+        self.probe_failures = self.probe_failures << 1 | 1;
+        let update = Member {
             status: member.status.max(Status::Suspected),
             ..member
         };
-        if news.status == Status::Leaving {
-            // A leaving node may go without a word; it needn't be given time to refute.
-            self.down(node, now);
+        if update.status == Status::Leaving {
+            // A leaving node is expected to stop responding, so it gets no time to refute.
+            self.mark_down(node, now);
         } else {
-            self.learn(&news, now);
+            self.apply_update(&update, now);
         }
     }
 
     fn expire_suspicions(&mut self, now: Timestamp) {
-        let run_out = |peer: &Peer| peer.deadline.is_some_and(|deadline| now >= deadline);
+        let is_expired = |peer: &Peer| {
+            peer.suspicion_deadline
+                .is_some_and(|deadline| now >= deadline)
+        };
         let nodes: Vec<NodeId> = self
             .peers
             .iter()
-            .filter(|(_, peer)| run_out(peer))
+            .filter(|(_, peer)| is_expired(peer))
             .map(|(node, _)| node.clone())
             .collect();
         for node in nodes {
-            self.down(&node, now);
+            self.mark_down(&node, now);
         }
         let forget_after = self.settings.forget_after;
         self.peers.retain(|_, peer| {
@@ -309,67 +322,71 @@
         });
     }
 
-    fn down(&mut self, node: &NodeId, now: Timestamp) {
+    fn mark_down(&mut self, node: &NodeId, now: Timestamp) {
         let Some(member) = self.peers.get(node).and_then(|peer| peer.member.clone()) else {
             return;
         };
-        let news = Member {
+        let update = Member {
             status: Status::Down,
             ..member
         };
-        self.learn(&news, now);
+        self.apply_update(&update, now);
     }
 
-    /// Picks the next peer: a random order over all that are well, and at times one that isn't.
+    /// Selects the next peer to probe: the reachable ones in random order, and occasionally an unreachable
+    /// one.
     fn next_target(&mut self) -> Option<NodeId> {
         if self.peers.is_empty() {
             return None;
         }
-        let well = |peer: &Peer| peer.member.is_some() && peer.down_since.is_none();
-        let unwell: Vec<NodeId> = self
+        let is_reachable = |peer: &Peer| peer.member.is_some() && peer.down_since.is_none();
+        let unreachable: Vec<NodeId> = self
             .peers
             .iter()
-            .filter(|(_, peer)| !well(peer))
+            .filter(|(_, peer)| !is_reachable(peer))
             .map(|(node, _)| node.clone())
             .collect();
-        let none_well = unwell.len() == self.peers.len();
-        if none_well || (!unwell.is_empty() && self.rng.u32(..REVIVAL) == 0) {
-            return Some(unwell[self.rng.usize(..unwell.len())].clone());
+        let none_reachable = unreachable.len() == self.peers.len();
+        if none_reachable
+            || (!unreachable.is_empty() && self.rng.u32(..UNREACHABLE_PROBE_ODDS) == 0)
+        {
+            return Some(unreachable[self.rng.usize(..unreachable.len())].clone());
         }
         loop {
-            let Some(node) = self.pass.pop() else {
-                let alive = self.peers.iter().filter(|(_, peer)| well(peer));
-                self.pass = alive.map(|(node, _)| node.clone()).collect();
-                self.rng.shuffle(&mut self.pass);
+            let Some(node) = self.probe_queue.pop() else {
+                let reachable = self.peers.iter().filter(|(_, peer)| is_reachable(peer));
+                self.probe_queue = reachable.map(|(node, _)| node.clone()).collect();
+                self.rng.shuffle(&mut self.probe_queue);
                 continue;
             };
-            if self.peers.get(&node).is_some_and(well) {
+            if self.peers.get(&node).is_some_and(is_reachable) {
                 return Some(node);
             }
         }
     }
 
-    /// Chooses what to tell: first what the receiver itself should refute, then news, then a slice
-    /// of all members in turn, so that a node that missed some news gets them in the end.
-    fn message(&mut self, to: &NodeId) -> Message {
+    /// Builds the message to a peer: first a suspicion of the peer itself, which it should refute, then
+    /// recent updates, then members in round-robin order, so that a node that missed updates eventually
+    /// receives them.
+    fn build_message(&mut self, to: &NodeId) -> Message {
         let mut chosen: Vec<usize> = Vec::with_capacity(self.settings.piggyback);
-        let doubted = |peer: &Peer| {
+        let is_suspected_or_down = |peer: &Peer| {
             let status = peer.member.as_ref().map(|member| member.status);
             matches!(status, Some(Status::Suspected | Status::Down))
         };
         if let Some((index, _, peer)) = self.peers.get_full(to)
-            && doubted(peer)
+            && is_suspected_or_down(peer)
         {
             chosen.push(index);
         }
-        let mut fresh: Vec<usize> = (0..self.peers.len())
-            .filter(|index| self.peers[*index].tellings > 0)
+        let mut updated: Vec<usize> = (0..self.peers.len())
+            .filter(|index| self.peers[*index].pending_transmissions > 0)
             .collect();
-        fresh.sort_by_key(|index| std::cmp::Reverse(self.peers[*index].tellings));
-        let for_news = self.settings.piggyback - self.settings.piggyback / SLICE_SHARE;
-        for index in fresh {
-            if chosen.len() < for_news && !chosen.contains(&index) {
-                self.peers[index].tellings -= 1;
+        updated.sort_by_key(|index| std::cmp::Reverse(self.peers[*index].pending_transmissions));
+        let update_slots = self.settings.piggyback - self.settings.piggyback / ROUND_ROBIN_SHARE;
+        for index in updated {
+            if chosen.len() < update_slots && !chosen.contains(&index) {
+                self.peers[index].pending_transmissions -= 1;
                 chosen.push(index);
             }
         }
@@ -377,9 +394,11 @@
             if chosen.len() >= self.settings.piggyback {
                 break;
             }
-            self.cursor = (self.cursor + 1) % self.peers.len();
-            if self.peers[self.cursor].member.is_some() && !chosen.contains(&self.cursor) {
-                chosen.push(self.cursor);
+            self.round_robin_cursor = (self.round_robin_cursor + 1) % self.peers.len();
+            if self.peers[self.round_robin_cursor].member.is_some()
+                && !chosen.contains(&self.round_robin_cursor)
+            {
+                chosen.push(self.round_robin_cursor);
             }
         }
         let members = chosen
@@ -391,19 +410,20 @@
         }
     }
 
-    /// Returns how often news are told: a few times the logarithm, by when nearly all have them.
-    fn tellings(&self) -> u32 {
+    /// Returns how often an update is transmitted: a small multiple of the logarithm of the number of nodes,
+    /// after which nearly all nodes have received it.
+    fn transmit_limit(&self) -> u32 {
         4 * (self.peers.len() + 2).ilog2()
     }
 
-    /// Returns how long a suspicion may be refuted, given the state of this node's own links.
-    fn suspicion_time(&self) -> Duration {
-        let time = self.settings.suspicion_time(self.peers.len() + 1);
-        let window = self.failures & ((1 << HEALTH_WINDOW) - 1);
-        if window.count_ones() * 2 > HEALTH_WINDOW {
-            time * UNHEALTHY_FACTOR
+    /// Returns how long a suspicion may be refuted, given the quality of this node's own links.
+    fn suspicion_timeout(&self) -> Duration {
+        let timeout = self.settings.suspicion_timeout(self.peers.len() + 1);
+        let window = self.probe_failures & ((1 << HEALTH_WINDOW_PROBES) - 1);
+        if window.count_ones() * 2 > HEALTH_WINDOW_PROBES {
+            timeout * UNHEALTHY_SUSPICION_FACTOR
         } else {
-            time
+            timeout
         }
     }
 }
--- a/crates/sesamecart-membership/src/peer.rs
+++ b/crates/sesamecart-membership/src/peer.rs
@@ -1,4 +1,4 @@
-//! One other node as this node knows it.
+//! The state of one other node.
 
 use std::time::Duration;
 
@@ -7,27 +7,28 @@
 use crate::member::{Member, Seed, Standing, Status};
 use crate::settings::MembershipSettings;
 
-/// The longest that a node which keeps going down is kept from duties after it returns.
+/// The longest hold of a node that repeatedly goes down and returns.
 const MAX_RETURN_HOLD: Duration = Duration::from_secs(80);
 
-/// One other node as this node knows it.
+/// The state of one other node, as known to this node.
 #[derive(Debug)]
 pub(crate) struct Peer {
     pub(crate) seed: Seed,
-    /// The newest news; none if it was only named by a seed.
+    /// The newest update; `None` if the node is known only as a seed.
     pub(crate) member: Option<Member>,
-    /// How often the newest news are still to be told.
-    pub(crate) tellings: u32,
-    /// When a suspicion turns into the node being down.
-    pub(crate) deadline: Option<Timestamp>,
-    /// Since when it is down.
+    /// How often the newest update is still to be transmitted.
+    pub(crate) pending_transmissions: u32,
+    /// When a suspected node is marked as down.
+    pub(crate) suspicion_deadline: Option<Timestamp>,
+    /// Since when it has been down.
     pub(crate) down_since: Option<Timestamp>,
-    /// Until when it is kept from duties after it returned.
-    pub(crate) held_until: Timestamp,
-    /// How long the last such hold was, and when it ended.
+    /// The end of the last hold, during which a returned node may not own shards.
+    pub(crate) hold_until: Timestamp,
+    /// The length of the last hold.
     hold: Duration,
-    /// Whether the VM list has ever shown it, and since when it doesn't any more.
-    listed: bool,
+    /// Whether the VM list has ever shown it.
+    was_listed: bool,
+    /// Since when the VM list hasn't shown it any more.
     unlisted_since: Option<Timestamp>,
 }
 
@@ -36,83 +37,84 @@
         Self {
             seed,
             member: None,
-            tellings: 0,
-            deadline: None,
+            pending_transmissions: 0,
+            suspicion_deadline: None,
             down_since: None,
-            held_until: Timestamp::ZERO,
+            hold_until: Timestamp::ZERO,
             hold: Duration::ZERO,
-            listed: false,
+            was_listed: false,
             unlisted_since: None,
         }
     }
 
-    /// Takes news if they are newer than what is known.
-    pub(crate) fn learn(
+    /// Applies an update if it is newer than the current one.
+    pub(crate) fn apply_update(
         &mut self,
-        news: &Member,
-        tellings: u32,
-        suspicion: Duration,
+        update: &Member,
+        transmissions: u32,
+        suspicion_timeout: Duration,
         settings: &MembershipSettings,
         now: Timestamp,
     ) {
         if self
             .member
             .as_ref()
-            .is_some_and(|known| !news.supersedes(known))
+            .is_some_and(|known| !update.supersedes(known))
         {
             return;
         }
-        self.tellings = tellings;
-        self.seed.address = news.address;
-        match news.status {
+        self.pending_transmissions = transmissions;
+        self.seed.address = update.address;
+        match update.status {
             Status::Alive | Status::Leaving => {
-                self.deadline = None;
-                self.come_back(settings, now);
+                self.suspicion_deadline = None;
+                self.start_return_hold(settings, now);
             }
             Status::Suspected => {
-                self.deadline.get_or_insert(now + suspicion);
+                self.suspicion_deadline
+                    .get_or_insert(now + suspicion_timeout);
             }
             Status::Down => {
-                self.deadline = None;
+                self.suspicion_deadline = None;
                 self.down_since.get_or_insert(now);
             }
         }
-        self.member = Some(news.clone());
+        self.member = Some(update.clone());
     }
 
-    /// Begins the time in which a node that was down must stay well.
+    /// Starts the hold, during which a node that was down must stay healthy.
     ///
-    /// A node that goes down and returns every few seconds would otherwise take its shards back each
-    /// time, and every move leaves them without an owner for a moment. Each return within a minute
-    /// of the last hold doubles the next one.
-    fn come_back(&mut self, settings: &MembershipSettings, now: Timestamp) {
+    /// Otherwise a node that goes down and returns every few seconds would take back its shards each time,
+    /// and every move leaves them briefly without an owner. A return within a minute after the last hold
+    /// doubles the next one.
+    fn start_return_hold(&mut self, settings: &MembershipSettings, now: Timestamp) {
         if self.down_since.take().is_none() {
             return;
         }
-        let again = now < self.held_until + Duration::from_secs(60) && !self.hold.is_zero();
-        self.hold = if again {
+        let is_repeated = now < self.hold_until + Duration::from_secs(60) && !self.hold.is_zero();
+        self.hold = if is_repeated {
             (self.hold * 2).min(MAX_RETURN_HOLD)
         } else {
             settings.return_hold
         };
-        self.held_until = now + self.hold;
+        self.hold_until = now + self.hold;
     }
 
-    /// A message came from the node itself, which gives it the whole time to refute once more.
+    /// Restarts the time to refute a suspicion, because a message arrived from the node itself.
     ///
-    /// The suspicion stands until then: others hold it too, and the node must be told to refute it.
-    pub(crate) fn hear(&mut self, suspicion: Duration, now: Timestamp) {
-        if let Some(deadline) = &mut self.deadline {
-            *deadline = (*deadline).max(now + suspicion);
+    /// The suspicion isn't cleared: other nodes have it too, and the node must receive it to refute it.
+    pub(crate) fn extend_suspicion(&mut self, suspicion_timeout: Duration, now: Timestamp) {
+        if let Some(deadline) = &mut self.suspicion_deadline {
+            *deadline = (*deadline).max(now + suspicion_timeout);
         }
     }
 
-    /// Notes whether the VM list shows the node.
-    pub(crate) fn list(&mut self, shown: bool, now: Timestamp) {
-        if shown {
-            self.listed = true;
+    /// Records whether the VM list shows the node.
+    pub(crate) fn update_listing(&mut self, is_listed: bool, now: Timestamp) {
+        if is_listed {
+            self.was_listed = true;
             self.unlisted_since = None;
-        } else if self.listed {
+        } else if self.was_listed {
             self.unlisted_since.get_or_insert(now);
         }
     }
@@ -123,13 +125,13 @@
         now: Timestamp,
     ) -> Option<Standing> {
         let member = self.member.as_ref()?;
-        let unlisted = self
+        let is_unlisted = self
             .unlisted_since
             .is_some_and(|since| now >= since + settings.list_lag);
-        if self.down_since.is_some() && unlisted {
+        if self.down_since.is_some() && is_unlisted {
             return Some(Standing::Gone);
         }
-        if self.down_since.is_some() || now < self.held_until {
+        if self.down_since.is_some() || now < self.hold_until {
             return Some(Standing::Suspected);
         }
         match member.status {
--- a/crates/sesamecart-membership/src/settings.rs
+++ b/crates/sesamecart-membership/src/settings.rs
@@ -1,26 +1,28 @@
-//! The rates and times of membership.
+//! Rates and timeouts of membership.
 
 use std::time::Duration;
 
-/// The rates and times of membership.
+/// Rates and timeouts of membership.
 ///
-/// What a node sends depends on `probe_interval`, `probes` and `piggyback` alone, not on the number
-/// of nodes.
+/// The rate at which a node sends depends only on `probe_interval`, `probes` and `piggyback`, not on the
+/// number of nodes.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct MembershipSettings {
     /// The time between two rounds of probes.
     pub probe_interval: Duration,
-    /// Peers probed in one round.
+    /// The number of peers probed in one round.
     pub probes: usize,
-    /// Members told about in one message, beside the sender.
+    /// The maximum number of members in one message, in addition to the sender.
     pub piggyback: usize,
-    /// How long a probe may go unanswered. A straggler's later answer still clears it.
+    /// How long to wait for the reply to a probe. A later reply of a slow node still refutes the suspicion.
     pub probe_timeout: Duration,
-    /// How long a suspicion may be refuted, for up to eight nodes; it grows with the logarithm.
-    pub suspicion: Duration,
-    /// How much longer for each doubling above eight nodes, as news need another round.
+    /// How long a suspicion may be refuted with up to eight nodes. It grows with the logarithm of the number
+    /// of nodes.
+    pub min_suspicion_timeout: Duration,
+    /// The extension of the suspicion timeout for each doubling of the number of nodes above eight, since
+    /// updates need another round to reach all nodes.
     pub suspicion_per_doubling: Duration,
-    /// How long a node that was down must be well before it counts as live again.
+    /// How long a node that was down must stay healthy before it counts as live again.
     pub return_hold: Duration,
     /// How far the platform's VM list may lag.
     pub list_lag: Duration,
@@ -35,7 +37,7 @@
             probes: 2,
             piggyback: 12,
             probe_timeout: Duration::from_millis(800),
-            suspicion: Duration::from_secs(4),
+            min_suspicion_timeout: Duration::from_secs(4),
             suspicion_per_doubling: Duration::from_secs(1),
             return_hold: Duration::from_secs(5),
             list_lag: Duration::from_secs(60),
@@ -44,14 +46,14 @@
     }
 }
 
-/// Up to how many nodes the shortest suspicion is long enough.
+/// The number of nodes for which the minimum suspicion timeout is sufficient.
 const SMALL_CLUSTER: usize = 8;
 
 impl MembershipSettings {
     /// Returns how long a suspicion may be refuted among `nodes` nodes.
     #[must_use]
-    pub fn suspicion_time(&self, nodes: usize) -> Duration {
+    pub fn suspicion_timeout(&self, nodes: usize) -> Duration {
         let doublings = (nodes / SMALL_CLUSTER).max(1).ilog2();
-        self.suspicion + self.suspicion_per_doubling * doublings
+        self.min_suspicion_timeout + self.suspicion_per_doubling * doublings
     }
 }
--- a/crates/sesamecart-membership/src/tests.rs
+++ b/crates/sesamecart-membership/src/tests.rs
@@ -1,21 +1,21 @@
-//! Tests of membership in virtual time.
+//! Tests of membership in a simulated cluster.
 
-mod kit;
+mod cluster;
 
 use std::time::Duration;
 
 use crate::Standing;
-use kit::Cluster;
+use cluster::Cluster;
 
-/// Long enough for every node to have heard of every other one, if all start at once.
-const JOIN: Duration = Duration::from_secs(100);
+/// Long enough for every node to discover every other one, if all start at once.
+const JOIN_TIME: Duration = Duration::from_secs(100);
 
-/// The most encoded bytes a second that one node may send, whatever the number of nodes.
+/// The limit of encoded bytes per second that one node may send, independent of the number of nodes.
 const MAX_BYTES_PER_SECOND: u64 = 4_000;
 
-fn joined(count: usize) -> Cluster {
+fn joined_cluster(count: usize) -> Cluster {
     let mut cluster = Cluster::new(count);
-    cluster.introduce();
+    cluster.connect_all();
     cluster.run(Duration::from_secs(5), |_| {});
     cluster
 }
@@ -30,46 +30,46 @@
 }
 
 at_sizes! {
-    nine_nodes_meet: 9 => nodes_meet;
-    target_nodes_meet: 380 => nodes_meet;
-    nine_nodes_send_few_bytes: 9 => nodes_send_few_bytes;
-    target_nodes_send_few_bytes: 380 => nodes_send_few_bytes;
-    nine_nodes_bear_a_one_way_link: 9 => one_way_link;
-    target_nodes_bear_a_one_way_link: 380 => one_way_link;
-    nine_nodes_bear_a_short_pause: 9 => short_pause;
-    target_nodes_bear_a_short_pause: 380 => short_pause;
-    nine_nodes_notice_a_lost_domain: 9 => lost_domain;
-    target_nodes_notice_a_lost_domain: 380 => lost_domain;
-    nine_nodes_bear_a_straggler: 9 => straggler;
-    nine_nodes_keep_a_returned_node_from_duties: 9 => long_pause;
+    nine_nodes_discover_each_other: 9 => nodes_discover_each_other;
+    target_nodes_discover_each_other: 380 => nodes_discover_each_other;
+    nine_nodes_send_bounded_bytes: 9 => nodes_send_bounded_bytes;
+    target_nodes_send_bounded_bytes: 380 => nodes_send_bounded_bytes;
+    nine_nodes_tolerate_a_one_way_link: 9 => one_way_link_causes_no_suspicion;
+    target_nodes_tolerate_a_one_way_link: 380 => one_way_link_causes_no_suspicion;
+    nine_nodes_tolerate_a_short_pause: 9 => short_pause_causes_no_suspicion;
+    target_nodes_tolerate_a_short_pause: 380 => short_pause_causes_no_suspicion;
+    nine_nodes_detect_a_lost_domain: 9 => lost_domain_is_detected;
+    target_nodes_detect_a_lost_domain: 380 => lost_domain_is_detected;
+    nine_nodes_tolerate_a_straggler: 9 => straggler_stays_live;
+    nine_nodes_hold_a_returned_node: 9 => returned_node_is_held;
 }
 
-/// Each node is told of one or two others only. If news didn't spread, shards would be claimed by
-/// several nodes that each think they are nearly alone, and callers would see refusals.
-fn nodes_meet(count: usize) {
+/// Each node has only one or two seeds. If updates didn't spread, several nodes would each see a nearly empty
+/// cluster and claim the same shards, and callers would receive refusals.
+fn nodes_discover_each_other(count: usize) {
     let mut cluster = Cluster::new(count);
-    cluster.run(JOIN, |_| {});
+    cluster.run(JOIN_TIME, |_| {});
     let live = cluster.count(0..count, 0..count, Standing::Live);
     assert_eq!(live, count * count);
 }
 
-/// With a cost that grew with the number of nodes, heartbeats alone would fill the entry VMs' links
-/// at the target size.
-fn nodes_send_few_bytes(count: usize) {
-    let mut cluster = joined(count);
-    cluster.bytes.fill(0);
+/// If the cost of heartbeats grew with the number of nodes, they would saturate the entry VMs' links at the
+/// target size.
+fn nodes_send_bounded_bytes(count: usize) {
+    let mut cluster = joined_cluster(count);
+    cluster.bytes_sent.fill(0);
     cluster.run(Duration::from_secs(20), |_| {});
-    let most = cluster.bytes.iter().max().unwrap() / 20;
-    let mean = cluster.bytes.iter().sum::<u64>() / 20 / count as u64;
+    let most = cluster.bytes_sent.iter().max().unwrap() / 20;
+    let mean = cluster.bytes_sent.iter().sum::<u64>() / 20 / count as u64;
     println!("{count} nodes: mean {mean} B/s, most {most} B/s sent per node");
     assert!(mean <= MAX_BYTES_PER_SECOND, "{mean} B/s");
 }
 
-/// A firewall rule or a full table drops packets from one node to another, one way only. If that
-/// one node's word sufficed, the other's shards would be claimed again and again.
-fn one_way_link(count: usize) {
-    let mut cluster = joined(count);
-    cluster.cut.push((0, 1));
+/// A firewall rule or a full table drops packets from one node to another, in one direction only. If the
+/// suspicion of that one node were sufficient, the shards of the other would be claimed repeatedly.
+fn one_way_link_causes_no_suspicion(count: usize) {
+    let mut cluster = joined_cluster(count);
+    cluster.cut_links.push((0, 1));
     cluster.run(Duration::from_secs(60), |cluster| {
         for by in [0, 2, 3, count - 1] {
             assert_eq!(
@@ -82,10 +82,10 @@
     });
 }
 
-/// A VM is stopped for two seconds by its host. Users would see every shard of it refuse work twice
-/// if it were taken for dead and then for alive again.
-fn short_pause(count: usize) {
-    let mut cluster = joined(count);
+/// A VM is paused for two seconds by its host. If it were marked as down and then as alive again, each of its
+/// shards would refuse work twice.
+fn short_pause_causes_no_suspicion(count: usize) {
+    let mut cluster = joined_cluster(count);
     cluster.pause(1, Duration::from_secs(2));
     cluster.run(Duration::from_secs(30), |cluster| {
         for by in [0, 2, count - 1] {
@@ -107,31 +107,31 @@
     });
 }
 
-/// A zone loses power. Until the survivors agree that its nodes are down, their shards have no
-/// owner and keyed actions on them are refused.
-fn lost_domain(count: usize) {
-    let mut cluster = joined(count);
+/// A zone loses power. Until the remaining nodes agree that its nodes are down, their shards have no owner
+/// and keyed actions on them are refused.
+fn lost_domain_is_detected(count: usize) {
+    let mut cluster = joined_cluster(count);
     let lost = (0..count).step_by(3);
-    let left: Vec<usize> = (0..count).filter(|node| node % 3 != 0).collect();
+    let survivors: Vec<usize> = (0..count).filter(|node| node % 3 != 0).collect();
     lost.clone().for_each(|node| cluster.kill(node));
-    let by = || left.iter().copied();
-    let all = lost.clone().count() * left.len();
+    let by = || survivors.iter().copied();
+    let all = lost.clone().count() * survivors.len();
     cluster.run(Duration::from_secs(40), |_| {});
     let most = cluster.count(lost.clone(), by(), Standing::Suspected);
-    println!("{count} nodes: {most} of {all} noticed after 40 s");
+    println!("{count} nodes: {most} of {all} detected after 40 s");
     assert!(all - most <= all / 100, "{most} of {all}");
     cluster.run(Duration::from_secs(120), |_| {});
     assert_eq!(cluster.count(lost.clone(), by(), Standing::Suspected), all);
     assert_eq!(
         cluster.count(by(), by(), Standing::Live),
-        left.len() * left.len()
+        survivors.len() * survivors.len()
     );
 }
 
-/// One VM answers everything a second late. It is slow, not dead, and taking its shards away and
-/// giving them back would hurt more than waiting for it.
-fn straggler(count: usize) {
-    let mut cluster = joined(count);
+/// One VM responds to everything a second late. It is slow but alive, and moving its shards away and back
+/// would cost more than waiting for it.
+fn straggler_stays_live(count: usize) {
+    let mut cluster = joined_cluster(count);
     cluster.delay[1] = Duration::from_millis(1_000);
     cluster.run(Duration::from_secs(60), |cluster| {
         for by in [0, 2, count - 1] {
@@ -145,10 +145,10 @@
     });
 }
 
-/// A VM is stopped for half a minute and returns. It must be taken for down, so that others serve
-/// its shards, and get none back before it has been well for a while.
-fn long_pause(count: usize) {
-    let mut cluster = joined(count);
+/// A VM is paused for half a minute and returns. It must be marked as down, so that other nodes take over its
+/// shards, and may not get any back before it has been healthy for the hold.
+fn returned_node_is_held(count: usize) {
+    let mut cluster = joined_cluster(count);
     cluster.pause(1, Duration::from_secs(30));
     cluster.run(Duration::from_secs(30), |_| {});
     assert_eq!(cluster.standing(1, 0), Some(Standing::Suspected));
--- a/crates/sesamecart-membership/src/tests/kit.rs
+++ b/crates/sesamecart-membership/src/tests/cluster.rs
@@ -1,4 +1,4 @@
-//! Nodes that exchange heartbeats in virtual time.
+//! A simulated cluster of nodes that exchange heartbeats in virtual time.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -24,19 +24,19 @@
     },
 }
 
-/// Nodes in three failure domains, with links that can be cut one way.
+/// Nodes in three failure domains, with links that can be cut in one direction.
 pub(super) struct Cluster {
     ids: IndexSet<NodeId>,
     nodes: Vec<Membership>,
     pub(super) now: Timestamp,
-    /// Nodes that are paused until a time; one that is dead is paused for ever.
+    /// The time until which each node is paused. A killed node is paused forever.
     paused_until: Vec<Timestamp>,
-    /// How long a node takes to answer.
+    /// The delay of messages to each node.
     pub(super) delay: Vec<Duration>,
-    pub(super) cut: Vec<(usize, usize)>,
+    pub(super) cut_links: Vec<(usize, usize)>,
     queue: BTreeMap<(Timestamp, u64), Delivery>,
     sent: u64,
-    pub(super) bytes: Vec<u64>,
+    pub(super) bytes_sent: Vec<u64>,
 }
 
 pub(super) fn node_id(index: usize) -> NodeId {
@@ -76,7 +76,7 @@
 }
 
 impl Cluster {
-    /// Makes nodes that each know two others from their settings.
+    /// Creates nodes that each have two seeds.
     pub(super) fn new(count: usize) -> Self {
         let nodes = (0..count).map(|index| {
             let own = seed(index);
@@ -99,15 +99,15 @@
             now: Timestamp::ZERO,
             paused_until: vec![Timestamp::ZERO; count],
             delay: vec![Duration::from_millis(1); count],
-            cut: Vec::new(),
+            cut_links: Vec::new(),
             queue: BTreeMap::new(),
             sent: 0,
-            bytes: vec![0; count],
+            bytes_sent: vec![0; count],
         }
     }
 
-    /// Lets every node know every other one.
-    pub(super) fn introduce(&mut self) {
+    /// Sends the state of all nodes to every node.
+    pub(super) fn connect_all(&mut self) {
         let all: Vec<Member> = self.nodes.iter().map(|node| node.me().clone()).collect();
         for (index, node) in self.nodes.iter_mut().enumerate() {
             let sender = all[(index + 1) % all.len()].clone();
@@ -124,8 +124,8 @@
         self.paused_until[node] = Timestamp::NEVER;
     }
 
-    /// Lets time pass and calls `look` after each tick.
-    pub(super) fn run(&mut self, time: Duration, mut look: impl FnMut(&Self)) {
+    /// Advances the time and calls `inspect` after each tick.
+    pub(super) fn run(&mut self, time: Duration, mut inspect: impl FnMut(&Self)) {
         let end = self.now + time;
         while self.now < end {
             self.now = self.now + TICK;
@@ -137,8 +137,8 @@
                 for probe in self.nodes[index].tick(self.now) {
                     let to = self.ids.get_index_of(&probe.to.node);
                     let to = to.expect("only these nodes exist");
-                    self.bytes[index] += encoded_len(&probe.message);
-                    if self.cut.contains(&(index, to)) {
+                    self.bytes_sent[index] += encoded_len(&probe.message);
+                    if self.cut_links.contains(&(index, to)) {
                         continue;
                     }
                     let message = probe.message;
@@ -150,11 +150,11 @@
                     self.send(self.delay[to], delivery);
                 }
             }
-            look(self);
+            inspect(self);
         }
     }
 
-    /// What a node believes of another.
+    /// Returns the standing of the node `of` in the view of the node `by`.
     pub(super) fn standing(&self, of: usize, by: usize) -> Option<Standing> {
         let id = node_id(of);
         let mut members = self.nodes[by].members(self.now);
@@ -163,7 +163,7 @@
             .map(|(_, standing)| standing)
     }
 
-    /// Returns how many of `of` each node of `by` believes to have this standing, in all.
+    /// Counts the nodes of `of` that have this standing in the view of each node of `by`, summed over `by`.
     pub(super) fn count(
         &self,
         of: impl Iterator<Item = usize>,
@@ -200,8 +200,8 @@
                         continue;
                     }
                     let reply = self.nodes[to].on_request(&message, self.now);
-                    self.bytes[to] += encoded_len(&reply);
-                    if !self.cut.contains(&(to, from)) {
+                    self.bytes_sent[to] += encoded_len(&reply);
+                    if !self.cut_links.contains(&(to, from)) {
                         self.send(
                             self.delay[from],
                             Delivery::Reply {
