--- a/crates/sesamecart-groups/src/controller/group.rs
+++ b/crates/sesamecart-groups/src/controller/group.rs
@@ -12,7 +12,7 @@
 use crate::order::OrderSequencer;
 use crate::repair::Repair;
 use crate::settings::GroupSettings;
-use crate::state::{GroupReport, NotRoutable, Routability, assess};
+use crate::state::{GroupReport, NotRoutableReason, Routability, assess};
 
 /// The phase of a group.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
@@ -153,7 +153,7 @@
                     ..
                 },
             ) => a == c && b == d,
-            (Some(Routability::Not(a)), Routability::Not(b)) => a == b,
+            (Some(Routability::NotRoutable(a)), Routability::NotRoutable(b)) => a == b,
             _ => false,
         };
         self.published = Some(routability.clone());
@@ -164,11 +164,11 @@
     pub(super) fn update_phase(&mut self, usable: usize, size: usize) {
         self.phase = match &self.published {
             Some(Routability::Routable { .. }) => GroupPhase::Serving,
-            Some(Routability::Not(NotRoutable::Lost(_) | NotRoutable::Missing(_))) => {
-                GroupPhase::Incomplete
-            }
-            Some(Routability::Not(_)) if usable < size => GroupPhase::Incomplete,
-            Some(Routability::Not(_)) | None => GroupPhase::Recovering,
+            Some(Routability::NotRoutable(
+                NotRoutableReason::MemberLost(_) | NotRoutableReason::MissingVms(_),
+            )) => GroupPhase::Incomplete,
+            Some(Routability::NotRoutable(_)) if usable < size => GroupPhase::Incomplete,
+            Some(Routability::NotRoutable(_)) | None => GroupPhase::Recovering,
         };
     }
 
--- a/crates/sesamecart-groups/src/lib.rs
+++ b/crates/sesamecart-groups/src/lib.rs
@@ -20,5 +20,5 @@
 pub use repair::{AcquiredVm, GroupHealth, Repair, RepairView, plan_repairs, plan_replacements};
 pub use rollout::{Replica, next_to_update};
 pub use settings::{GroupSettings, RepairSettings};
-pub use state::{GroupReport, MemberReport, NotRoutable, Routability, assess};
+pub use state::{GroupReport, MemberReport, NotRoutableReason, Routability, assess};
 pub use weights::{LoadRequest, RateGrant, allocate_rates};
--- a/crates/sesamecart-groups/src/repair/tests.rs
+++ b/crates/sesamecart-groups/src/repair/tests.rs
@@ -98,7 +98,8 @@
         serving("c", 2, "c1 c2 c3", "")], free "" => ["a+c1<c"];
     group_with_many_replicas_preempts_none: [with_many_replicas(broken("a", 10, "a1 a2", "a3")),
         serving("b", 2, "b1 b2 b3", "")], free "" => [];
-    lost_domain_is_not_repaired: [broken("a", 5, "", "a1 a2 a3"), broken("b", 5, "", "b1 b2 b3")], free "" => [];
+    lost_domain_is_not_repaired: [broken("a", 5, "", "a1 a2 a3"), broken("b", 5, "", "b1 b2 b3")],
+        free "" => [];
     returning_vms_complete_one_group: [broken("a", 5, "a1", "a2 a3"), broken("b", 5, "b1", "b2 b3"),
         broken("c", 5, "c1", "c2 c3")], free "" => ["a+c1<c,b1<b"];
 }
--- a/crates/sesamecart-groups/src/state.rs
+++ b/crates/sesamecart-groups/src/state.rs
@@ -52,30 +52,30 @@
     },
     /// No new work may be sent to the group.
     #[display("not routable: {_0}")]
-    Not(NotRoutable),
+    NotRoutable(NotRoutableReason),
 }
 
 /// Why a group isn't routable.
 #[derive(Clone, Debug, Display, Eq, PartialEq)]
-pub enum NotRoutable {
+pub enum NotRoutableReason {
     /// There is no report that is still valid.
     #[display("no fresh report")]
-    Stale,
+    StaleReport,
     /// The group has fewer VMs than a replica needs.
     #[display("{_0} VMs are missing")]
-    Missing(usize),
+    MissingVms(usize),
     /// The report is for another generation.
     #[display("the engine runs generation {_0}")]
     OtherGeneration(Generation),
     /// A member isn't ready in this incarnation and generation of the engine.
     #[display("{_0} is not ready")]
-    Member(VmId),
+    MemberNotReady(VmId),
     /// The engine doesn't accept requests.
     #[display("the engine is not ready")]
-    Engine,
+    EngineNotReady,
     /// A member is known to be lost.
     #[display("{_0} is lost")]
-    Lost(VmId),
+    MemberLost(VmId),
 }
 
 impl Routability {
@@ -102,7 +102,7 @@
     validity: Duration,
 ) -> Routability {
     match check_report(assigned, vms_per_group, report, lost, now, validity) {
-        Err(reason) => Routability::Not(reason),
+        Err(reason) => Routability::NotRoutable(reason),
         Ok(report) => Routability::Routable {
             generation: assigned.generation,
             incarnation: report.incarnation,
@@ -118,30 +118,30 @@
     lost: &IndexSet<VmId>,
     now: Timestamp,
     validity: Duration,
-) -> Result<&'a GroupReport, NotRoutable> {
+) -> Result<&'a GroupReport, NotRoutableReason> {
     if assigned.members.len() != vms_per_group {
         let missing = vms_per_group.saturating_sub(assigned.members.len());
-        return Err(NotRoutable::Missing(missing));
+        return Err(NotRoutableReason::MissingVms(missing));
     }
     if let Some(vm) = assigned.members.iter().find(|vm| lost.contains(*vm)) {
-        return Err(NotRoutable::Lost(vm.clone()));
+        return Err(NotRoutableReason::MemberLost(vm.clone()));
     }
-    let report = report.ok_or(NotRoutable::Stale)?;
+    let report = report.ok_or(NotRoutableReason::StaleReport)?;
     if report.asked_at + validity <= now {
-        return Err(NotRoutable::Stale);
+        return Err(NotRoutableReason::StaleReport);
     }
     if report.generation != assigned.generation {
-        return Err(NotRoutable::OtherGeneration(report.generation));
+        return Err(NotRoutableReason::OtherGeneration(report.generation));
     }
     if let Some(vm) = assigned
         .members
         .iter()
         .find(|vm| !is_member_ready(report, vm))
     {
-        return Err(NotRoutable::Member((*vm).clone()));
+        return Err(NotRoutableReason::MemberNotReady((*vm).clone()));
     }
     if !report.ready {
-        return Err(NotRoutable::Engine);
+        return Err(NotRoutableReason::EngineNotReady);
     }
     Ok(report)
 }
--- a/crates/sesamecart-groups/src/state/tests.rs
+++ b/crates/sesamecart-groups/src/state/tests.rs
@@ -2,7 +2,7 @@
 
 use sesamecart_vocabulary::{Generation, Incarnation, Timestamp};
 
-use super::{GroupReport, MemberReport, NotRoutable, Routability, assess};
+use super::{GroupReport, MemberReport, NotRoutableReason, Routability, assess};
 use crate::assignment::AssignedGroup;
 
 const VALIDITY: Duration = Duration::from_secs(3);
@@ -44,24 +44,26 @@
             change(&mut report);
             let now = Timestamp::from_millis(11_000);
             let routability = assess(&assigned(), 2, Some(&report), &[].into(), now, VALIDITY);
-            assert_eq!(routability, Routability::Not($reason));
+            assert_eq!(routability, Routability::NotRoutable($reason));
         }
     )*};
 }
 
 not_routable_cases! {
-    engine_not_ready: |r| r.ready = false => NotRoutable::Engine;
-    member_not_ready: |r| r.members[1].ready = false => NotRoutable::Member("vm-2".parse().unwrap());
-    member_missing_from_report: |r| { r.members.pop(); } => NotRoutable::Member("vm-2".parse().unwrap());
+    engine_not_ready: |r| r.ready = false => NotRoutableReason::EngineNotReady;
+    member_not_ready: |r| r.members[1].ready = false
+        => NotRoutableReason::MemberNotReady("vm-2".parse().unwrap());
+    member_missing_from_report: |r| { r.members.pop(); }
+        => NotRoutableReason::MemberNotReady("vm-2".parse().unwrap());
     member_of_other_generation: |r| r.members[0].generation = Generation(1)
-        => NotRoutable::Member("vm-1".parse().unwrap());
+        => NotRoutableReason::MemberNotReady("vm-1".parse().unwrap());
     member_of_other_incarnation: |r| r.members[0].incarnation = Incarnation(6)
-        => NotRoutable::Member("vm-1".parse().unwrap());
+        => NotRoutableReason::MemberNotReady("vm-1".parse().unwrap());
     report_of_older_generation: |r| r.generation = Generation(1)
-        => NotRoutable::OtherGeneration(Generation(1));
+        => NotRoutableReason::OtherGeneration(Generation(1));
     report_of_newer_generation: |r| r.generation = Generation(3)
-        => NotRoutable::OtherGeneration(Generation(3));
-    report_expired: |r| r.asked_at = Timestamp::from_millis(8_000) => NotRoutable::Stale;
+        => NotRoutableReason::OtherGeneration(Generation(3));
+    report_expired: |r| r.asked_at = Timestamp::from_millis(8_000) => NotRoutableReason::StaleReport;
 }
 
 #[test]
@@ -95,7 +97,7 @@
     );
     assert_eq!(
         routability,
-        Routability::Not(NotRoutable::Lost("vm-2".parse().unwrap()))
+        Routability::NotRoutable(NotRoutableReason::MemberLost("vm-2".parse().unwrap()))
     );
 }
 
@@ -114,5 +116,8 @@
         now,
         VALIDITY,
     );
-    assert_eq!(routability, Routability::Not(NotRoutable::Missing(1)));
+    assert_eq!(
+        routability,
+        Routability::NotRoutable(NotRoutableReason::MissingVms(1))
+    );
 }
