--- a/crates/sesamecart-actions/src/commit.rs
+++ b/crates/sesamecart-actions/src/commit.rs
@@ -1,8 +1,9 @@
-//! Group commit: intents and ends of many keys go out in one append, or to voters in an outage.
+//! Group commit: batches the intents and outcomes of many keys into one log append, or sends the intents to
+//! voters during a log outage.
 //!
-//! One append for each action would pass the log's rate with a few callers. The first item of a
-//! quiet node goes out at once; what comes while appends are under way, or while the node's share of
-//! the rate is used up, waits and shares the next one.
+//! With one append per action, a few concurrent callers would exceed the log's rate limit. An idle node appends
+//! its first item at once. Items that arrive while appends are in flight, or while the node's share of the rate
+//! is used up, are queued and go into the next append together.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -11,27 +12,27 @@
 use sesamecart_fold::{ActionIntent, ActionOutcome, ActionPart, Actions};
 use sesamecart_vocabulary::{Epoch, ShardId, Timestamp};
 
-use crate::pace::Pace;
+use crate::rate_limit::RateLimiter;
 
-/// The bounds of a node's group commit.
+/// The limits of a node's group commit.
 #[derive(Clone, Copy, Debug)]
 pub struct CommitConfig {
-    /// The time that each append earns, by which all nodes keep to the log's rate.
+    /// The average interval between appends, which keeps all nodes together within the log's rate limit.
     pub interval: Duration,
-    /// The appends that go out without a pause after a quiet time.
+    /// The number of appends that may be sent back to back after an idle period.
     pub burst: u32,
-    /// The most items in one append.
+    /// The maximum number of items in one append.
     pub max_items: usize,
-    /// The most appends under way at once.
+    /// The maximum number of appends in flight.
     pub max_in_flight: usize,
-    /// The most items that wait; beyond it new actions are refused.
+    /// The maximum number of queued items; beyond it new actions are refused.
     pub max_backlog: usize,
-    /// The time from one try of a log that is out to the next.
-    pub probe: Duration,
+    /// The interval between probes of an unavailable log.
+    pub probe_interval: Duration,
 }
 
 impl Default for CommitConfig {
-    /// A ninth of 200 appends a second, which suits nine nodes.
+    /// The interval gives each of nine nodes its share of 200 appends per second.
     fn default() -> Self {
         Self {
             interval: Duration::from_millis(45),
@@ -39,47 +40,47 @@
             max_items: 512,
             max_in_flight: 2,
             max_backlog: 8_192,
-            probe: Duration::from_millis(250),
+            probe_interval: Duration::from_millis(250),
         }
     }
 }
 
-/// One thing to make durable.
+/// An item to store durably.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum CommitItem {
-    /// An action is about to be sent.
+    /// The intent of an action that is about to be sent.
     Intent {
-        /// The shard of its key.
+        /// The shard of the action's key.
         shard: ShardId,
         /// The owner's epoch.
         epoch: Epoch,
         /// The intent.
         intent: ActionIntent,
     },
-    /// An action ended.
+    /// The outcome of an action.
     Outcome {
-        /// The shard of its key.
+        /// The shard of the action's key.
         shard: ShardId,
         /// The owner's epoch.
         epoch: Epoch,
-        /// The end.
+        /// The outcome.
         outcome: ActionOutcome,
     },
 }
 
-/// Items for the log.
+/// A batch of items for the log.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct LogBatch {
-    /// Names the batch in [`GroupCommit::logged`].
+    /// Identifies the batch in [`GroupCommit::logged`].
     pub id: u64,
-    /// The items by shard, as one record carries them.
+    /// The items grouped by shard, for a single log record.
     pub parts: Vec<ActionPart>,
 }
 
-/// Intents of one shard for its voters.
+/// A batch of one shard's intents for its voters.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct MirrorBatch {
-    /// Names the batch in [`GroupCommit::mirrored`].
+    /// Identifies the batch in [`GroupCommit::mirrored`].
     pub id: u64,
     /// The shard.
     pub shard: ShardId,
@@ -89,12 +90,12 @@
     pub intents: Vec<ActionIntent>,
 }
 
-/// What to do next.
+/// The next step of the group commit.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum CommitStep {
-    /// Append this, read it back, and report with [`GroupCommit::logged`].
+    /// Append this batch, read it back, and report the result with [`GroupCommit::logged`].
     Append(LogBatch),
-    /// Send this to the shard's voters and report with [`GroupCommit::mirrored`].
+    /// Send this batch to the shard's voters and report the result with [`GroupCommit::mirrored`].
     Mirror(MirrorBatch),
     /// Nothing is due before this time.
     WaitUntil(Timestamp),
@@ -102,19 +103,19 @@
     Idle,
 }
 
-/// What became of an item.
+/// An item and whether it was stored durably.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Durable {
-    /// The log holds it, and the fold has said what it counts.
+    /// The append was read back from the log, so the fold shows whether the item took effect.
     Logged(CommitItem),
-    /// A majority of the voters keeps the intent; the log gets it later.
+    /// A majority of the voters stores the intent; it is appended to the log later.
     Mirrored(CommitItem),
-    /// Nobody is known to keep the intent.
+    /// The intent isn't known to be stored anywhere.
     Lost(CommitItem),
 }
 
 impl CommitItem {
-    /// Returns the shard and the epoch that it is told under.
+    /// Returns the shard and the epoch of the lease under which the item was created.
     #[must_use]
     pub const fn lease(&self) -> (ShardId, Epoch) {
         match self {
@@ -126,7 +127,7 @@
 }
 
 impl Durable {
-    /// Returns the shard and the epoch that the item is told under.
+    /// Returns the shard and the epoch of the lease under which the item was created.
     #[must_use]
     pub const fn lease(&self) -> (ShardId, Epoch) {
         match self {
@@ -135,21 +136,21 @@
     }
 }
 
-/// What the fold says of an intent that was read back.
+/// The status of an intent in the fold after the log was read back.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum IntentVerdict {
-    /// It stands: this try may be sent.
+    /// The fold has accepted the intent: its attempt may be sent.
     Stands,
-    /// Another try of the same key came first.
+    /// Another attempt for the is_selected key came first.
     Another,
-    /// It doesn't count, since its epoch had passed, or it isn't in the log.
+    /// The fold ignored the intent because its epoch had passed, or the intent isn't in the log.
     Absent,
 }
 
-/// Returns what the fold says of an intent.
+/// Returns the status of an intent in the fold.
 ///
-/// The log decides between owners: whatever a paused or replaced owner believes of its lease, only
-/// one try of a key ever stands in the fold.
+/// The order of the log decides between competing owners: even if a paused or replaced owner still considers
+/// its lease valid, the fold accepts only one attempt per key at a time.
 #[must_use]
 pub fn verdict_of(actions: &Actions, intent: &ActionIntent) -> IntentVerdict {
     match actions.get(&intent.action_key()) {
@@ -159,16 +160,17 @@
     }
 }
 
+/// Where new intents are stored.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Path {
     Log,
     Voters { probe_at: Timestamp },
 }
 
-/// The items of an append that is under way.
+/// The items of an append that is in flight.
 #[derive(Debug)]
-struct Appending {
-    /// Those that waited for the log to come back, in their order.
+struct InFlightAppend {
+    /// The items that were waiting for the log to recover, in order.
     unlogged: Vec<CommitItem>,
     new: Vec<CommitItem>,
 }
@@ -178,74 +180,74 @@
 pub struct GroupCommit {
     config: CommitConfig,
     path: Path,
-    pace: Pace,
+    rate_limiter: RateLimiter,
     next_id: u64,
     queue: VecDeque<CommitItem>,
-    /// Durable at voters, or ends: to be logged once the log is back.
+    /// Mirrored intents and outcomes that must be appended once the log is available again.
     unlogged: VecDeque<CommitItem>,
-    logging: IndexMap<u64, Appending>,
+    appending: IndexMap<u64, InFlightAppend>,
     mirroring: IndexMap<u64, Vec<CommitItem>>,
 }
 
 impl GroupCommit {
-    /// Makes a group commit with nothing to do.
+    /// Creates an empty group commit.
     #[must_use]
     pub fn new(config: CommitConfig) -> Self {
         Self {
             config,
             path: Path::Log,
-            pace: Pace::new(config.interval, config.burst),
+            rate_limiter: RateLimiter::new(config.interval, config.burst),
             next_id: 0,
             queue: VecDeque::new(),
             unlogged: VecDeque::new(),
-            logging: IndexMap::new(),
+            appending: IndexMap::new(),
             mirroring: IndexMap::new(),
         }
     }
 
-    /// Returns whether new actions may be begun.
+    /// Returns whether the backlog has room for new actions.
     #[must_use]
     pub fn has_room(&self) -> bool {
         self.queue.len() + self.unlogged.len() < self.config.max_backlog
     }
 
-    /// Returns whether the log counts as out.
+    /// Returns whether the log is considered unavailable.
     #[must_use]
     pub const fn is_log_out(&self) -> bool {
         matches!(self.path, Path::Voters { .. })
     }
 
-    /// Returns the number of items that wait or are under way.
+    /// Returns the number of items that are queued or in flight.
     #[must_use]
     pub fn backlog(&self) -> usize {
-        let logging = self.logging.values();
-        let logging = logging.map(|batch| batch.unlogged.len() + batch.new.len());
+        let appending = self.appending.values();
+        let appending = appending.map(|batch| batch.unlogged.len() + batch.new.len());
         let mirroring = self.mirroring.values().map(Vec::len);
-        self.queue.len() + self.unlogged.len() + logging.chain(mirroring).sum::<usize>()
+        self.queue.len() + self.unlogged.len() + appending.chain(mirroring).sum::<usize>()
     }
 
-    /// Returns whether the log may lack something of a shard that its voters were given.
+    /// Returns whether the shard has mirrored intents that the log may lack.
     ///
-    /// While it does, the shard's voters must not change: the next owner would ask the new ones,
-    /// which were never given it.
+    /// While it does, the shard's voters must not change: the next owner would query the new voters, which
+    /// never received these intents.
     #[must_use]
     pub fn is_mirrored(&self, shard: ShardId) -> bool {
         let waiting = self.unlogged.iter().filter(|item| item.lease().0 == shard);
-        let logging = self.logging.values().flat_map(|batch| &batch.unlogged);
+        let appending = self.appending.values().flat_map(|batch| &batch.unlogged);
         let mirroring = self.mirroring.values().flatten();
-        let under_way = logging.chain(mirroring);
+        let in_flight = appending.chain(mirroring);
         waiting
-            .chain(under_way.filter(|item| item.lease().0 == shard))
+            .chain(in_flight.filter(|item| item.lease().0 == shard))
             .count()
             > 0
     }
 
-    /// Adds an item.
+    /// Adds an item to the queue.
     pub fn push(&mut self, item: CommitItem) {
         self.queue.push_back(item);
     }
 
-    /// Returns what is due.
+    /// Returns the next step that is due at `now`.
     pub fn step(&mut self, now: Timestamp) -> CommitStep {
         match self.path {
             Path::Log => self.log_step(now),
@@ -253,41 +255,43 @@
         }
     }
 
-    /// Notes that a batch was appended and read back, or that it wasn't.
+    /// Records whether a batch was appended and read back.
     ///
-    /// After a failure its intents go to the voters, since the caller is waiting; its ends wait.
-    /// The record may still be in the log; the same attempt ids make a second one harmless.
-    pub fn logged(&mut self, now: Timestamp, id: u64, done: bool) -> Vec<Durable> {
-        let Some(Appending { unlogged, new }) = self.logging.shift_remove(&id) else {
+    /// After a failure, the batch's intents are sent to the voters because callers are waiting for them, and its
+    /// outcomes wait until the log is available again. The record may have reached the log despite the failure;
+    /// appending the items again is harmless because they have the is_selected attempt ids.
+    pub fn logged(&mut self, now: Timestamp, id: u64, is_appended: bool) -> Vec<Durable> {
+        let Some(InFlightAppend { unlogged, new }) = self.appending.shift_remove(&id) else {
             return Vec::new();
         };
-        if done {
+        if is_appended {
             self.path = Path::Log;
             let items = unlogged.into_iter().chain(new);
             return items.map(Durable::Logged).collect();
         }
-        let probe_at = now + self.config.probe;
+        let probe_at = now + self.config.probe_interval;
         self.path = Path::Voters { probe_at };
-        // An end counts only after its intent, so what waited for the log keeps its place in front.
+        // The fold ignores an outcome that precedes its intent, so the items that were already waiting go back
+        // to the front.
         for item in unlogged.into_iter().rev() {
             self.unlogged.push_front(item);
         }
-        let (intents, ends): (Vec<_>, Vec<_>) = new
+        let (intents, outcomes): (Vec<_>, Vec<_>) = new
             .into_iter()
             .partition(|item| matches!(item, CommitItem::Intent { .. }));
-        self.unlogged.extend(ends);
+        self.unlogged.extend(outcomes);
         for intent in intents.into_iter().rev() {
             self.queue.push_front(intent);
         }
         Vec::new()
     }
 
-    /// Notes that a majority of the voters keeps a batch, or that it doesn't.
-    pub fn mirrored(&mut self, id: u64, kept: bool) -> Vec<Durable> {
+    /// Records whether a majority of the voters stored a batch.
+    pub fn mirrored(&mut self, id: u64, is_stored: bool) -> Vec<Durable> {
         let Some(items) = self.mirroring.shift_remove(&id) else {
             return Vec::new();
         };
-        if !kept {
+        if !is_stored {
             return items.into_iter().map(Durable::Lost).collect();
         }
         self.unlogged.extend(items.iter().cloned());
@@ -298,10 +302,10 @@
         if self.queue.is_empty() && self.unlogged.is_empty() {
             return CommitStep::Idle;
         }
-        if self.logging.len() >= self.config.max_in_flight {
+        if self.appending.len() >= self.config.max_in_flight {
             return CommitStep::Idle;
         }
-        let due = self.pace.due(now);
+        let due = self.rate_limiter.next_allowed(now);
         if due > now {
             return CommitStep::WaitUntil(due);
         }
@@ -310,13 +314,13 @@
 
     fn outage_step(&mut self, now: Timestamp, probe_at: Timestamp) -> CommitStep {
         let waiting = !self.unlogged.is_empty() || !self.queue.is_empty();
-        if now >= probe_at && self.logging.is_empty() && waiting {
+        if now >= probe_at && self.appending.is_empty() && waiting {
             return self.probe(now);
         }
-        if let Some(batch) = self.next_mirror() {
+        if let Some(batch) = self.next_mirror_batch() {
             return CommitStep::Mirror(batch);
         }
-        if self.unlogged.is_empty() || !self.logging.is_empty() {
+        if self.unlogged.is_empty() || !self.appending.is_empty() {
             return CommitStep::Idle;
         }
         CommitStep::WaitUntil(probe_at)
@@ -324,23 +328,23 @@
 
     fn append(&mut self, now: Timestamp) -> CommitStep {
         let unlogged = self.take_unlogged();
-        let room = self.config.max_items - unlogged.len();
-        let new = self.take_queued(room);
+        let capacity = self.config.max_items - unlogged.len();
+        let new = self.take_queued(capacity);
         self.begin_append(now, unlogged, new)
     }
 
-    /// Tries whether the log is back with what waits for it.
+    /// Probes the log by appending the items that wait for it.
     ///
-    /// New intents are risked only if nothing else waits, because their callers would lose the time
-    /// that a log takes that is still out.
+    /// New intents are used only if nothing else is waiting, because their callers would be delayed by the
+    /// timeout of a log that is still unavailable.
     fn probe(&mut self, now: Timestamp) -> CommitStep {
         let unlogged = self.take_unlogged();
-        let room = if unlogged.is_empty() {
+        let capacity = if unlogged.is_empty() {
             self.config.max_items
         } else {
             0
         };
-        let new = self.take_queued(room);
+        let new = self.take_queued(capacity);
         self.begin_append(now, unlogged, new)
     }
 
@@ -349,8 +353,8 @@
         self.unlogged.drain(..count).collect()
     }
 
-    fn take_queued(&mut self, room: usize) -> Vec<CommitItem> {
-        let count = self.queue.len().min(room);
+    fn take_queued(&mut self, capacity: usize) -> Vec<CommitItem> {
+        let count = self.queue.len().min(capacity);
         self.queue.drain(..count).collect()
     }
 
@@ -360,17 +364,17 @@
         unlogged: Vec<CommitItem>,
         new: Vec<CommitItem>,
     ) -> CommitStep {
-        self.pace.spend(now);
-        let id = self.take_id();
-        let parts = parts_of(unlogged.iter().chain(&new));
-        self.logging.insert(id, Appending { unlogged, new });
+        self.rate_limiter.record_append(now);
+        let id = self.next_batch_id();
+        let parts = group_by_shard(unlogged.iter().chain(&new));
+        self.appending.insert(id, InFlightAppend { unlogged, new });
         CommitStep::Append(LogBatch { id, parts })
     }
 
-    /// Takes the waiting intents of one shard; ends that wait are put aside for the log.
-    fn next_mirror(&mut self) -> Option<MirrorBatch> {
+    /// Takes the queued intents of one shard and sets queued outcomes aside for the log.
+    fn next_mirror_batch(&mut self) -> Option<MirrorBatch> {
         let waiting = std::mem::take(&mut self.queue);
-        let mut chosen: Option<(ShardId, Epoch)> = None;
+        let mut selected_lease: Option<(ShardId, Epoch)> = None;
         let mut items = Vec::new();
         let mut intents = Vec::new();
         for item in waiting {
@@ -382,8 +386,8 @@
                     intent,
                 } => {
                     let lease = (*shard, *epoch);
-                    let same = *chosen.get_or_insert(lease) == lease;
-                    if same && items.len() < self.config.max_items {
+                    let is_selected = *selected_lease.get_or_insert(lease) == lease;
+                    if is_selected && items.len() < self.config.max_items {
                         intents.push(intent.clone());
                         items.push(item);
                     } else {
@@ -392,8 +396,8 @@
                 }
             }
         }
-        let (shard, epoch) = chosen?;
-        let id = self.take_id();
+        let (shard, epoch) = selected_lease?;
+        let id = self.next_batch_id();
         self.mirroring.insert(id, items);
         Some(MirrorBatch {
             id,
@@ -403,24 +407,24 @@
         })
     }
 
-    const fn take_id(&mut self) -> u64 {
+    const fn next_batch_id(&mut self) -> u64 {
         self.next_id += 1;
         self.next_id
     }
 }
 
-/// Sorts items by shard, so that each end comes after the intent of the same try.
+/// Groups items by shard so that each outcome is applied after the intent of the is_selected attempt.
 ///
-/// In one part the ends count first. An end whose intent is in the same part would be passed over,
-/// and its key would stay unknown for ever, so it starts a further part.
-fn parts_of<'a>(items: impl Iterator<Item = &'a CommitItem>) -> Vec<ActionPart> {
+/// The fold applies the outcomes of a part before its intents. An outcome whose intent is in the is_selected part would
+/// be ignored, and its key would remain unknown forever, so such an outcome starts a new part.
+fn group_by_shard<'a>(items: impl Iterator<Item = &'a CommitItem>) -> Vec<ActionPart> {
     let mut parts: Vec<ActionPart> = Vec::new();
-    let mut last: IndexMap<(ShardId, Epoch), usize> = IndexMap::new();
+    let mut last_part: IndexMap<(ShardId, Epoch), usize> = IndexMap::new();
     for item in items {
         let lease = item.lease();
         let (shard, epoch) = lease;
-        let open = last.get(&lease).copied();
-        let index = match open.filter(|index| fits(&parts[*index], item)) {
+        let open_part = last_part.get(&lease).copied();
+        let index = match open_part.filter(|index| fits_part(&parts[*index], item)) {
             Some(index) => index,
             None => {
                 parts.push(ActionPart {
@@ -429,7 +433,7 @@
                     outcomes: Vec::new(),
                     intents: Vec::new(),
                 });
-                last.insert(lease, parts.len() - 1);
+                last_part.insert(lease, parts.len() - 1);
                 parts.len() - 1
             }
         };
@@ -441,7 +445,8 @@
     parts
 }
 
-fn fits(part: &ActionPart, item: &CommitItem) -> bool {
+/// Returns whether an item can be added to a part without preceding its own intent.
+fn fits_part(part: &ActionPart, item: &CommitItem) -> bool {
     match item {
         CommitItem::Intent { .. } => true,
         CommitItem::Outcome { outcome, .. } => {
--- a/crates/sesamecart-actions/src/asking.rs
+++ b/crates/sesamecart-actions/src/decision.rs
@@ -1,4 +1,4 @@
-//! What a node asks a key's owner, and what the owner decides.
+//! The request that a node sends to a key's owner, and the owner's decision.
 
 use std::time::Duration;
 
@@ -6,31 +6,31 @@
 use sesamecart_fold::{ActionEnd, ActionKey, EncodedBody, Header};
 use sesamecart_vocabulary::{AttemptId, BodyDigest, Epoch, Timestamp};
 
-/// Names one call that waits for a reply.
+/// Identifies a pending call to the owner that is waiting for its reply.
 #[derive(Clone, Copy, Debug, Display, Eq, From, Hash, Ord, PartialEq, PartialOrd)]
 pub struct Ticket(pub u64);
 
-/// A node asks whether it may send a keyed action.
+/// A node's request for permission to send a keyed action.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Asking {
-    /// What makes the action unique.
+    /// The key that identifies the action.
     pub key: ActionKey,
-    /// The hash of the body, which tells a repeated request from a different one.
+    /// The hash of the body, used to detect that a key is reused for a different request.
     pub body_digest: BodyDigest,
-    /// The one try that the node would make; it sends for this id at most once in its life.
+    /// The attempt that the node would make; the node sends at most one request for this id.
     pub attempt: AttemptId,
-    /// When the request's deadline passes.
+    /// The request's deadline.
     pub until: Timestamp,
 }
 
-/// An endpoint's answer, kept so that it can be given again.
+/// An endpoint's response, stored so that it can be replayed to repeated requests.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Answer {
-    /// The status.
+    /// The HTTP status.
     pub status: u16,
-    /// The headers.
+    /// The response headers.
     pub headers: Vec<Header>,
-    /// The body.
+    /// The response body.
     pub body: EncodedBody,
 }
 
@@ -44,25 +44,25 @@
     }
 }
 
-/// Why nothing was begun.
+/// Why the owner refused to begin an action.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
 pub enum RefusalReason {
-    /// The owner has as many actions under way as it may hold.
+    /// The owner has reached its limit of actions in flight.
     #[display("too many keyed actions are under way")]
     Full,
-    /// The intent could be made durable neither in the log nor at the voters.
+    /// The intent could not be stored durably, neither in the log nor at the voters.
     #[display("the intent could not be made durable")]
     NotDurable,
-    /// The owner is new and hasn't yet heard what its predecessor began.
+    /// The owner is new and doesn't yet know which actions its predecessor began.
     #[display("the key's owner is taking over")]
     TakingOver,
-    /// Voters that may have known of this key are lost; see docs/design/actions.md.
+    /// Voters that may have stored an intent for this key are lost; see docs/design/actions.md.
     #[display("what the last owner began is not known for certain")]
     Uncertain,
-    /// The time in the key lies in the future.
+    /// The timestamp in the key is in the future.
     #[display("the key's time lies in the future")]
     FutureKey,
-    /// This try was ended as not run before.
+    /// This attempt has already ended as not run.
     #[display("this attempt has ended")]
     AttemptEnded,
 }
@@ -78,7 +78,7 @@
         Self::AttemptEnded,
     ];
 
-    /// Returns the reason's name between nodes.
+    /// Returns the reason's name in messages between nodes.
     #[must_use]
     pub const fn code(self) -> &'static str {
         match self {
@@ -91,43 +91,43 @@
         }
     }
 
-    /// Returns the reason of a name between nodes.
+    /// Returns the reason with the given name in messages between nodes.
     #[must_use]
     pub fn of_code(code: &str) -> Option<Self> {
         Self::ALL.into_iter().find(|reason| reason.code() == code)
     }
 }
 
-/// What the owner decides.
+/// The owner's decision on an [`Asking`].
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Decision {
-    /// The intent is durable: send the request now, once, under this epoch.
+    /// The intent is durable: the node may send the request once, under this epoch.
     Send {
-        /// The fencing number.
+        /// The epoch of the owner's lease, which serves as the fencing token.
         epoch: Epoch,
     },
-    /// The action ran before: give this answer.
+    /// The action has already run: return this stored response.
     Answered(Answer),
-    /// It runs right now.
+    /// Another attempt is in flight.
     Running {
-        /// When to ask again.
+        /// The delay after which to ask again.
         retry_after: Duration,
     },
-    /// It was begun, and whether it ran isn't known.
+    /// An attempt was begun, and it isn't known whether it ran.
     Unknown {
-        /// The try that was begun, so that an endpoint can be asked what became of it.
+        /// The attempt that was begun, by which its outcome can be queried at an endpoint.
         attempt: AttemptId,
     },
-    /// The key came with another body before.
+    /// The key was used before with a different body.
     Mismatch,
-    /// Nothing was begun.
+    /// No attempt was begun.
     Refused {
-        /// Why.
+        /// The reason for the refusal.
         reason: RefusalReason,
-        /// When to ask again.
+        /// The delay after which to ask again.
         retry_after: Duration,
     },
-    /// The key is older than the horizon.
+    /// The key is older than the retention horizon.
     Expired,
     /// Another node owns the key's shard.
     NotOwner,
--- a/crates/sesamecart-actions/src/lib.rs
+++ b/crates/sesamecart-actions/src/lib.rs
@@ -1,22 +1,22 @@
 //! Keyed actions: at most one run of a non-idempotent request, decided by its key's owner.
 //!
-//! The crate is pure: time comes as an argument, and what has to be sent or written is returned.
-//! docs/design/actions.md gives the whole protocol and what was weighed.
+//! The crate does no I/O and reads no clock: callers pass the time in, and the functions return what must be
+//! sent or written. docs/design/actions.md describes the protocol and its trade-offs.
 
-mod asking;
 mod commit;
-mod gather;
+mod decision;
+mod intent_recovery;
 mod key_time;
 mod mirror;
 mod owner;
-mod pace;
+mod rate_limit;
 
-pub use asking::{Answer, Asking, Decision, RefusalReason, Ticket};
 pub use commit::{
     CommitConfig, CommitItem, CommitStep, Durable, GroupCommit, IntentVerdict, LogBatch,
     MirrorBatch, verdict_of,
 };
-pub use gather::{Gather, Gathered, VoterId};
+pub use decision::{Answer, Asking, Decision, RefusalReason, Ticket};
+pub use intent_recovery::{Gather, Gathered, VoterId};
 pub use key_time::{KeyTime, key_time};
 pub use mirror::{Mirrors, MirrorsConfig};
 pub use owner::{Effect, KnownActions, Owner, OwnerConfig};
--- a/crates/sesamecart-actions/src/mirror.rs
+++ b/crates/sesamecart-actions/src/mirror.rs
@@ -1,25 +1,25 @@
-//! What a voter keeps of other nodes' intents while the log is out.
+//! The intents that a voter stores for other nodes while the log is unavailable.
 //!
-//! An owner that can't reach the log hands its intents to the shard's voters before it sends. If it
-//! dies, its successor must learn of them, or a booking would run twice. A voter that has applied a
-//! later claim keeps nothing more for the old owner, so a majority that kept an intent and a
-//! majority that applied the claim share a voter that tells of it.
+//! An owner that can't reach the log mirrors its intents to the shard's voters before it sends. If the owner
+//! crashes, its successor must learn of these intents, or an action would run twice. A voter that has applied
+//! a later claim stores nothing more for the old owner, so a majority that stored an intent and a majority
+//! that applied the claim overlap in a voter that reports the intent to the successor.
 
 use indexmap::IndexMap;
 use sesamecart_fold::{ActionIntent, ActionKey, Actions};
 use sesamecart_vocabulary::{Epoch, Offset, ShardId};
 
-use crate::gather::Gathered;
+use crate::intent_recovery::Gathered;
 
-/// The bounds of a voter.
+/// The limits of a voter's storage.
 #[derive(Clone, Copy, Debug)]
 pub struct MirrorsConfig {
-    /// The most intents that are kept; beyond it the voter keeps no more.
+    /// The maximum number of stored intents; the voter rejects further ones.
     pub max_intents: usize,
 }
 
 impl Default for MirrorsConfig {
-    /// Room for an outage of some minutes at a few hundred actions a second.
+    /// Enough for an outage of several minutes at a few hundred actions per second.
     fn default() -> Self {
         Self {
             max_intents: 65_536,
@@ -27,99 +27,102 @@
     }
 }
 
+/// An intent and the epoch of the owner that sent it.
 #[derive(Clone, Debug)]
-struct Kept {
+struct StoredIntent {
     epoch: Epoch,
     intent: ActionIntent,
 }
 
-/// The intents that one node keeps as a voter.
+/// The intents that one node stores as a voter.
 #[derive(Clone, Debug)]
 pub struct Mirrors {
     config: MirrorsConfig,
-    /// The log's tail when this life of the node first read it.
+    /// The log's tail when this process first read it.
     settled_from: Option<Offset>,
-    kept: IndexMap<ShardId, IndexMap<ActionKey, Kept>>,
+    stored: IndexMap<ShardId, IndexMap<ActionKey, StoredIntent>>,
     count: usize,
 }
 
 impl Mirrors {
-    /// Makes a voter that hasn't read the log's tail yet and so promises nothing.
+    /// Creates a voter that hasn't read the log's tail yet and therefore stores nothing.
     #[must_use]
     pub fn new(config: MirrorsConfig) -> Self {
         Self {
             config,
             settled_from: None,
-            kept: IndexMap::new(),
+            stored: IndexMap::new(),
             count: 0,
         }
     }
 
-    /// Notes that the node has read the log's tail at `offset`; only the first call counts.
+    /// Records that the node has read the log's tail at `offset`; only the first call has an effect.
     pub fn settle(&mut self, offset: Offset) {
         self.settled_from.get_or_insert(offset);
     }
 
-    /// Returns the number of intents that are kept.
+    /// Returns the number of stored intents.
     #[must_use]
     pub const fn len(&self) -> usize {
         self.count
     }
 
-    /// Returns whether nothing is kept.
+    /// Returns whether no intents are stored.
     #[must_use]
     pub const fn is_empty(&self) -> bool {
         self.count == 0
     }
 
-    /// Keeps an owner's intents, all of them or none, and returns whether it did.
+    /// Stores either all or none of an owner's intents, and returns whether they were stored.
     ///
-    /// `in_force` is the shard's epoch by this node's own fold. Another one means that a claim which
-    /// the owner hasn't heard of may already have asked this voter.
+    /// `current_epoch` is the shard's epoch in this node's own fold. If it differs from `epoch`, a claimant
+    /// that the owner doesn't know of may already have queried this voter.
     pub fn keep(
         &mut self,
         shard: ShardId,
         epoch: Epoch,
-        in_force: Option<Epoch>,
+        current_epoch: Option<Epoch>,
         intents: &[ActionIntent],
     ) -> bool {
-        if self.settled_from.is_none() || in_force != Some(epoch) {
+        if self.settled_from.is_none() || current_epoch != Some(epoch) {
             return false;
         }
         if self.count + intents.len() > self.config.max_intents {
             return false;
         }
-        let kept = self.kept.entry(shard).or_default();
+        let stored = self.stored.entry(shard).or_default();
         for intent in intents {
-            let entry = Kept {
+            let entry = StoredIntent {
                 epoch,
                 intent: intent.clone(),
             };
-            if kept.insert(intent.action_key(), entry).is_none() {
+            if stored.insert(intent.action_key(), entry).is_none() {
                 self.count += 1;
             }
         }
         true
     }
 
-    /// Tells the claimant of `claim` what earlier owners left, once this node has applied the claim.
+    /// Returns the intents of earlier owners for the claimant of epoch `claim`.
+    ///
+    /// Returns `None` until this node has read the log's tail and applied the claim.
     #[must_use]
     pub fn gather(
         &self,
         shard: ShardId,
         claim: Epoch,
-        in_force: Option<Epoch>,
+        current_epoch: Option<Epoch>,
     ) -> Option<Gathered> {
         let settled_from = self.settled_from?;
-        if in_force.is_none_or(|epoch| epoch < claim) {
+        if current_epoch.is_none_or(|epoch| epoch < claim) {
             return None;
         }
-        let kept = self.kept.get(&shard);
-        let intents = kept
+        let stored = self.stored.get(&shard);
+        let intents = stored
             .into_iter()
             .flat_map(IndexMap::values)
-            .filter(|kept| kept.epoch < claim)
-            .map(|kept| kept.intent.clone())
+            .filter(|stored| stored.epoch < claim)
+            .map(|stored| stored.intent.clone())
             .collect();
         Some(Gathered {
             settled_from,
@@ -127,12 +130,12 @@
         })
     }
 
-    /// Forgets the intents that the log tells of by now.
+    /// Removes the intents whose keys the log has by now.
     pub fn forget_logged(&mut self, actions: &Actions) {
-        for kept in self.kept.values_mut() {
-            kept.retain(|key, _| actions.get(key).is_none());
+        for stored in self.stored.values_mut() {
+            stored.retain(|key, _| actions.get(key).is_none());
         }
-        self.kept.retain(|_, kept| !kept.is_empty());
-        self.count = self.kept.values().map(IndexMap::len).sum();
+        self.stored.retain(|_, stored| !stored.is_empty());
+        self.count = self.stored.values().map(IndexMap::len).sum();
     }
 }
--- a/crates/sesamecart-actions/src/owner.rs
+++ b/crates/sesamecart-actions/src/owner.rs
@@ -1,4 +1,5 @@
-//! The owner of a shard's keys: who may send, who waits, and who gets the first answer.
+//! The owner of a shard's keys, which decides which attempts are sent, which calls wait for another attempt,
+//! and which receive a stored response.
 
 mod durable;
 mod entry;
@@ -9,24 +10,24 @@
 use sesamecart_fold::{ActionEnd, ActionEntry, ActionIntent, ActionKey, Actions, EncodedBody};
 use sesamecart_vocabulary::{AttemptId, BodyDigest, Epoch, ShardId, Timestamp};
 
-use crate::asking::{Answer, Asking, Decision, RefusalReason, Ticket};
 use crate::commit::CommitItem;
+use crate::decision::{Answer, Asking, Decision, RefusalReason, Ticket};
 use crate::key_time::{KeyTime, key_time};
-use durable::outcome_of;
-use entry::{Asker, Entry, Phase};
+use durable::action_outcome;
+use entry::{Entry, Phase, Waiter};
 
-/// The bounds of an owner.
+/// The limits and timeouts of an owner.
 #[derive(Clone, Copy, Debug)]
 pub struct OwnerConfig {
-    /// The most keys that are under way or not yet in the log.
+    /// The maximum number of keys that are in flight or not yet in the log.
     pub max_entries: usize,
-    /// The most callers that wait for one key's first answer; more are told to ask again.
+    /// The maximum number of calls that wait for one key's response; further calls are told to retry.
     pub max_waiters: usize,
-    /// The time after a request's deadline in which its end may still be told.
+    /// The time after a request's deadline during which its outcome may still be reported.
     pub grace: Duration,
-    /// When to ask again.
+    /// The delay after which a refused or rejected call should be retried.
     pub retry_after: Duration,
-    /// How long keys are remembered, in milliseconds of the log's clock.
+    /// How long keys are retained, in milliseconds of the log's clock.
     pub horizon_ms: u64,
 }
 
@@ -42,52 +43,52 @@
     }
 }
 
-/// What an owner needs to know of the world for one decision.
+/// The inputs to one decision of an owner.
 #[derive(Clone, Copy, Debug)]
 pub struct KnownActions<'a> {
-    /// The time by this process's clock.
+    /// The current time on this process's monotonic clock.
     pub now: Timestamp,
     /// The wall-clock time in milliseconds.
     pub wall_ms: u64,
-    /// What the log tells.
+    /// The state of all keyed actions in the log.
     pub actions: &'a Actions,
-    /// Whether the group commit takes new actions.
+    /// Whether the group commit accepts new actions.
     pub has_room: bool,
 }
 
-/// What is to be done.
+/// An effect that the caller must carry out.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Effect {
-    /// Answer a call of a node that asked.
+    /// Reply to a call with a decision.
     Reply(Ticket, Decision),
-    /// Tell a node whether the end that it told is durable.
+    /// Tell a node whether the outcome that it reported is durable.
     Recorded(Ticket, bool),
-    /// Make this durable.
+    /// Store this item durably.
     Commit(CommitItem),
 }
 
-/// Whether an owner may begin actions that it has never heard of.
+/// Whether an owner may begin actions whose keys it doesn't know.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Readiness {
-    /// The last owner's voters haven't all been heard.
-    Gathering,
-    /// Everything that an earlier owner began is known.
+    /// The intents at the previous owner's voters aren't recovered yet.
+    Recovering,
+    /// Every action that an earlier owner began is known.
     Ready,
-    /// Something that an earlier owner began may be unknown until this time.
+    /// An action that an earlier owner began may be unknown until this time.
     Uncertain { until: Timestamp },
 }
 
 /// The owner of one shard's keys under one epoch.
 ///
-/// A successor makes a new one. Nothing here relies on the lease's time: an intent counts once the
-/// fold says so, or once a majority of voters keeps it, and both are decided in one order for all
-/// owners. A paused owner that wakes up late can thus refuse or repeat what is true, but not begin
-/// anything that its successor doesn't know of.
+/// A successor creates a new instance. Safety doesn't depend on the lease's duration: an intent is effective once
+/// the fold has accepted it or a majority of voters has stored it, and both happen in one order for all owners.
+/// An owner that resumes after a pause can therefore refuse requests or return stored responses, but can't begin
+/// an action that its successor doesn't know of.
 #[derive(Debug)]
 pub struct Owner {
     shard: ShardId,
     epoch: Epoch,
-    /// The first of the epochs that this owner held without a break.
+    /// The first of the consecutive epochs that this owner has held.
     since: Epoch,
     config: OwnerConfig,
     readiness: Readiness,
@@ -95,7 +96,7 @@
 }
 
 impl Owner {
-    /// Makes the owner for a lease that was just won; it refuses until [`Self::adopt`].
+    /// Creates the owner for a newly acquired lease; it refuses new actions until [`Self::adopt`] is called.
     #[must_use]
     pub fn new(shard: ShardId, epoch: Epoch, config: OwnerConfig) -> Self {
         Self {
@@ -103,7 +104,7 @@
             epoch,
             since: epoch,
             config,
-            readiness: Readiness::Gathering,
+            readiness: Readiness::Recovering,
             entries: IndexMap::new(),
         }
     }
@@ -114,15 +115,15 @@
         self.epoch
     }
 
-    /// Goes on under a new epoch that this owner itself claimed, as for fresh voters.
+    /// Continues under a new epoch that this owner claimed itself, for example to replace its voters.
     ///
-    /// The caller makes sure that nothing it began under the old epoch is missing in the log before
-    /// it claims; the next owner asks only the new voters.
+    /// Before it claims, the caller must make sure that the log has every intent of the old epoch, because the
+    /// next owner queries only the new voters.
     pub const fn renew(&mut self, epoch: Epoch) {
         self.epoch = epoch;
     }
 
-    /// Returns whether this owner held the epoch.
+    /// Returns whether this owner holds or has held the epoch.
     #[must_use]
     pub fn held(&self, epoch: Epoch) -> bool {
         self.since <= epoch && epoch <= self.epoch
@@ -134,44 +135,44 @@
         self.shard
     }
 
-    /// Returns the number of keys that are held beside the log's.
+    /// Returns the number of keys that the owner holds in memory.
     #[must_use]
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Returns the number of keys whose try hasn't ended.
+    /// Returns the number of keys whose attempt hasn't ended.
     #[must_use]
     pub fn under_way(&self) -> usize {
         let ended = |entry: &&Entry| matches!(entry.phase, Phase::Ended { .. });
         self.entries.values().filter(|entry| !ended(entry)).count()
     }
 
-    /// Returns whether no keys are held beside the log's.
+    /// Returns whether the owner holds no keys in memory.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Returns whether the last owner's voters are still to be heard.
+    /// Returns whether the owner is still waiting for the intents at the previous owner's voters.
     #[must_use]
     pub const fn is_gathering(&self) -> bool {
-        matches!(self.readiness, Readiness::Gathering)
+        matches!(self.readiness, Readiness::Recovering)
     }
 
-    /// Takes over what the last owner's voters kept, and begins to decide.
+    /// Takes over the intents recovered from the previous owner's voters, and starts to accept new actions.
     ///
-    /// Each such action may have run, so it is unknown until its end is told. If too many voters are
-    /// lost, `complete` is false, and keys never heard of are refused for the horizon rather than
-    /// run twice.
+    /// Each recovered action may have run, so its outcome is unknown until it is reported. If too many voters are
+    /// lost, `is_complete` is false, and unknown keys are refused until the retention horizon has passed, because
+    /// an action could otherwise run twice.
     pub fn adopt(
         &mut self,
         known: KnownActions<'_>,
         intents: Vec<ActionIntent>,
-        complete: bool,
+        is_complete: bool,
         out: &mut Vec<Effect>,
     ) {
-        self.readiness = if complete {
+        self.readiness = if is_complete {
             Readiness::Ready
         } else {
             let until = known.now + Duration::from_millis(self.config.horizon_ms);
@@ -191,14 +192,14 @@
                 },
                 waiters: Vec::new(),
                 recorders: Vec::new(),
-                touched: known.now,
+                updated_at: known.now,
             };
             self.entries.insert(key, entry);
             self.commit_intent(intent, out);
         }
     }
 
-    /// Decides on an action that a node asks for.
+    /// Decides on a node's request to send an action.
     pub fn begin(
         &mut self,
         known: KnownActions<'_>,
@@ -209,18 +210,18 @@
         let decision = match key_time(&asking.key.key, known.wall_ms, self.config.horizon_ms) {
             KeyTime::Expired => Some(Decision::Expired),
             KeyTime::Future => Some(self.refuse(RefusalReason::FutureKey)),
-            KeyTime::Unstated | KeyTime::Fresh => None,
+            KeyTime::NoTimestamp | KeyTime::Fresh => None,
         };
         if let Some(decision) = decision {
             out.push(Effect::Reply(ticket, decision));
             return;
         }
         if self.entries.contains_key(&asking.key) {
-            self.join(known, ticket, asking, out);
+            self.decide_local(known, ticket, asking, out);
             return;
         }
         match known.actions.get(&asking.key) {
-            Some(entry) if !may_begin_again(entry) => {
+            Some(entry) if !allows_new_attempt(entry) => {
                 let decision = self.decide_logged(entry, &asking);
                 out.push(Effect::Reply(ticket, decision));
             }
@@ -232,7 +233,7 @@
         }
     }
 
-    /// Notes how a try ended.
+    /// Records the outcome of an attempt.
     pub fn finish(
         &mut self,
         known: KnownActions<'_>,
@@ -246,15 +247,15 @@
         let logged = known.actions.get(key).map(|entry| &entry.attempt);
         match local.or(logged) {
             Some(known_attempt) if known_attempt == attempt => {}
-            // Another try stands, so this one was never allowed or is superseded.
+            // Another attempt is current, so this one was never granted or is superseded.
             Some(_) => {
                 out.push(Effect::Recorded(ticket, true));
                 return;
             }
-            // Its intent may be still to be heard of, and an end counts only after it.
+            // The intent may not have been recovered yet, and an outcome takes effect only after its intent.
             None => {
-                let moot = end == ActionEnd::NotRun && !self.is_gathering();
-                out.push(Effect::Recorded(ticket, moot));
+                let is_redundant = end == ActionEnd::NotRun && !self.is_gathering();
+                out.push(Effect::Recorded(ticket, is_redundant));
                 return;
             }
         }
@@ -265,40 +266,40 @@
             out.push(Effect::Recorded(ticket, true));
             return;
         }
-        let entry = self.entry_for_end(known, key, attempt);
-        let (news, waiters) = entry.end_with(end, known.now);
-        if !news && entry.is_logged() {
+        let entry = self.entry_for_outcome(known, key, attempt);
+        let (is_new, waiters) = entry.set_outcome(end, known.now);
+        if !is_new && entry.is_logged() {
             out.push(Effect::Recorded(ticket, true));
             return;
         }
         entry.recorders.push(ticket);
-        if news {
-            self.commit_end(key, out);
+        if is_new {
+            self.commit_outcome(key, out);
         }
         for waiter in waiters {
             self.begin(known, waiter.ticket, waiter.asking, out);
         }
     }
 
-    /// Ends what has been under way for longer than its deadline, and forgets what the log tells.
+    /// Ends attempts whose deadline has passed, and removes entries that the log has.
     pub fn tick(&mut self, known: KnownActions<'_>, out: &mut Vec<Effect>) {
         let horizon = Duration::from_millis(self.config.horizon_ms);
-        let mut silent = Vec::new();
+        let mut timed_out = Vec::new();
         self.entries.retain(|key, entry| match &entry.phase {
             Phase::Committing { .. } => true,
             Phase::Granted { until } => {
                 if known.now >= *until {
-                    silent.push(key.clone());
+                    timed_out.push(key.clone());
                 }
                 true
             }
             Phase::Ended { end, logged } => {
                 let in_log = known.actions.get(key).is_some() || *end == ActionEnd::NotRun;
-                !(*logged && in_log) && known.now < entry.touched + horizon
+                !(*logged && in_log) && known.now < entry.updated_at + horizon
             }
         });
-        for key in silent {
-            self.give_up(known, &key, out);
+        for key in timed_out {
+            self.time_out(known, &key, out);
         }
         if let Readiness::Uncertain { until } = self.readiness
             && known.now >= until
@@ -307,7 +308,7 @@
         }
     }
 
-    /// Ends the ownership: everybody who waits must ask the next owner.
+    /// Ends the ownership, and tells all waiting calls to ask the next owner.
     pub fn depose(self, out: &mut Vec<Effect>) {
         for entry in self.entries.into_values() {
             if let Phase::Committing { ticket, .. } = entry.phase {
@@ -322,14 +323,16 @@
         }
     }
 
-    /// The node that was allowed to send hasn't told the end in time: it may have died before or
-    /// after sending. Whoever waits is told so at once.
-    fn give_up(&mut self, known: KnownActions<'_>, key: &ActionKey, out: &mut Vec<Effect>) {
+    /// Ends an attempt whose outcome wasn't reported in time.
+    ///
+    /// The node that was granted the attempt may have crashed before or after sending it, so the outcome is
+    /// unknown. Waiting calls are notified at once.
+    fn time_out(&mut self, known: KnownActions<'_>, key: &ActionKey, out: &mut Vec<Effect>) {
         let Some(entry) = self.entries.get_mut(key) else {
             return;
         };
-        let (_, waiters) = entry.end_with(ActionEnd::Unknown, known.now);
-        // The log's intent without an end says the same.
+        let (_, waiters) = entry.set_outcome(ActionEnd::Unknown, known.now);
+        // An intent without an outcome in the log already means "unknown".
         entry.mark_logged();
         let attempt = entry.attempt.clone();
         for waiter in waiters {
@@ -338,6 +341,7 @@
         }
     }
 
+    /// Begins an action whose key is unknown, or refuses it.
     fn begin_new(
         &mut self,
         known: KnownActions<'_>,
@@ -346,7 +350,7 @@
         out: &mut Vec<Effect>,
     ) {
         let refusal = match self.readiness {
-            Readiness::Gathering => Some(RefusalReason::TakingOver),
+            Readiness::Recovering => Some(RefusalReason::TakingOver),
             Readiness::Uncertain { .. } => Some(RefusalReason::Uncertain),
             Readiness::Ready
                 if !known.has_room || self.entries.len() >= self.config.max_entries =>
@@ -376,14 +380,14 @@
             },
             waiters: Vec::new(),
             recorders: Vec::new(),
-            touched: known.now,
+            updated_at: known.now,
         };
         self.entries.insert(asking.key, entry);
         self.commit_intent(intent, out);
     }
 
-    /// Decides on a key that is under way here, or that the log may not tell of yet.
-    fn join(
+    /// Decides on a key that the owner holds in memory.
+    fn decide_local(
         &mut self,
         known: KnownActions<'_>,
         ticket: Ticket,
@@ -393,34 +397,34 @@
         let epoch = self.epoch;
         let max_waiters = self.config.max_waiters;
         let retry_after = self.config.retry_after;
-        let ended = RefusalReason::AttemptEnded;
+        let reason = RefusalReason::AttemptEnded;
         let entry = &mut self.entries[&asking.key];
-        let same = entry.attempt == asking.attempt;
+        let is_same_attempt = entry.attempt == asking.attempt;
         let decision = match &mut entry.phase {
-            // A key whose first try wasn't run may come back with another body.
+            // A key whose last attempt wasn't run may be reused with a different body.
             Phase::Ended {
                 end: ActionEnd::NotRun,
                 ..
-            } if same => Decision::Refused {
-                reason: ended,
+            } if is_same_attempt => Decision::Refused {
+                reason,
                 retry_after,
             },
             Phase::Ended {
                 end: ActionEnd::NotRun,
                 ..
-            } => return self.begin_again(known, ticket, asking, out),
+            } => return self.begin_retry(known, ticket, asking, out),
             _ if !entry.body_digest.matches(&asking.body_digest) => Decision::Mismatch,
-            Phase::Ended { end, .. } => decide_end(end, &entry.attempt),
-            // The node lost our reply and asks again for the try that it hasn't made.
-            Phase::Granted { .. } if same => Decision::Send { epoch },
+            Phase::Ended { end, .. } => decide_ended(end, &entry.attempt),
+            // The reply was lost, and the node repeats its call for an attempt that it hasn't sent.
+            Phase::Granted { .. } if is_same_attempt => Decision::Send { epoch },
             Phase::Committing {
-                ticket: waiting, ..
-            } if same => {
-                *waiting = ticket;
+                ticket: pending, ..
+            } if is_same_attempt => {
+                *pending = ticket;
                 return;
             }
             Phase::Granted { .. } | Phase::Committing { .. } => {
-                if entry.wait(Asker { ticket, asking }, max_waiters) {
+                if entry.add_waiter(Waiter { ticket, asking }, max_waiters) {
                     return;
                 }
                 Decision::Running { retry_after }
@@ -429,11 +433,11 @@
         out.push(Effect::Reply(ticket, decision));
     }
 
-    /// Begins a further try of a key whose last one wasn't run.
+    /// Begins another attempt for a key whose last attempt wasn't run.
     ///
-    /// The end goes out once more in front of the intent, since the first copy of it may still be on
-    /// its way, and the fold would then refuse the new intent.
-    fn begin_again(
+    /// The last outcome is committed again before the new intent. Its first copy may still be in flight, and the
+    /// fold would then reject the new intent.
+    fn begin_retry(
         &mut self,
         known: KnownActions<'_>,
         ticket: Ticket,
@@ -449,7 +453,7 @@
             return;
         };
         if self.entries.contains_key(&key) {
-            let outcome = outcome_of(&key, last.attempt.clone(), ActionEnd::NotRun);
+            let outcome = action_outcome(&key, last.attempt.clone(), ActionEnd::NotRun);
             out.push(Effect::Commit(self.outcome_item(outcome)));
             self.entries[&key].recorders.append(&mut last.recorders);
         } else {
@@ -463,12 +467,12 @@
             return Decision::Mismatch;
         }
         match &entry.end {
-            // An earlier owner allowed it and its reply was lost; the node hasn't sent it.
+            // An earlier owner granted the attempt, but its reply was lost; the node hasn't sent the request.
             None if entry.attempt == asking.attempt => Decision::Send { epoch: self.epoch },
             None => Decision::Unknown {
                 attempt: entry.attempt.clone(),
             },
-            Some(end) => decide_end(end, &entry.attempt),
+            Some(end) => decide_ended(end, &entry.attempt),
         }
     }
 
@@ -480,20 +484,20 @@
     }
 }
 
-/// Only a try that provably wasn't run makes room for another.
-fn may_begin_again(entry: &ActionEntry) -> bool {
+/// Returns whether another attempt may begin, which requires that the last one provably wasn't run.
+fn allows_new_attempt(entry: &ActionEntry) -> bool {
     entry.end == Some(ActionEnd::NotRun)
 }
 
-fn decide_standing(entry: &ActionEntry, body_digest: BodyDigest) -> Decision {
+fn decide_logged_entry(entry: &ActionEntry, body_digest: BodyDigest) -> Decision {
     if !entry.body_digest.matches(&body_digest) {
         return Decision::Mismatch;
     }
     let end = entry.end.as_ref().unwrap_or(&ActionEnd::Unknown);
-    decide_end(end, &entry.attempt)
+    decide_ended(end, &entry.attempt)
 }
 
-fn decide_end(end: &ActionEnd, attempt: &AttemptId) -> Decision {
+fn decide_ended(end: &ActionEnd, attempt: &AttemptId) -> Decision {
     match end {
         ActionEnd::Answered {
             status,
--- a/crates/sesamecart-actions/src/owner/durable.rs
+++ b/crates/sesamecart-actions/src/owner/durable.rs
@@ -1,36 +1,37 @@
-//! What an owner does once intents and ends are durable, or are known not to be.
+//! Handling of intents and outcomes once it is known whether they are durable.
 
 use sesamecart_fold::{ActionEnd, ActionIntent, ActionKey, ActionOutcome};
 use sesamecart_vocabulary::{AttemptId, BodyDigest};
 
 use super::entry::{Entry, Phase};
-use super::{Effect, KnownActions, Owner, decide_standing, may_begin_again};
-use crate::asking::{Decision, RefusalReason};
+use super::{Effect, KnownActions, Owner, allows_new_attempt, decide_logged_entry};
 use crate::commit::{CommitItem, Durable, IntentVerdict, verdict_of};
+use crate::decision::{Decision, RefusalReason};
 
 impl Owner {
-    /// Notes what became of an item that was to be made durable.
+    /// Records whether an item that was to be stored is durable.
     pub fn committed(&mut self, known: KnownActions<'_>, durable: &Durable, out: &mut Vec<Effect>) {
         match durable {
             Durable::Logged(CommitItem::Intent { intent, .. }) => {
                 let verdict = verdict_of(known.actions, intent);
-                self.intent_done(known, intent, verdict, out);
+                self.intent_committed(known, intent, verdict, out);
             }
             Durable::Mirrored(CommitItem::Intent { intent, .. }) => {
-                self.intent_done(known, intent, IntentVerdict::Stands, out);
+                self.intent_committed(known, intent, IntentVerdict::Stands, out);
             }
             Durable::Lost(CommitItem::Intent { intent, .. }) => {
                 self.intent_lost(known, intent, out);
             }
             Durable::Logged(CommitItem::Outcome { outcome, .. }) => {
-                self.end_logged(known, outcome, out);
+                self.outcome_logged(known, outcome, out);
             }
             Durable::Mirrored(CommitItem::Outcome { .. })
             | Durable::Lost(CommitItem::Outcome { .. }) => {}
         }
     }
 
-    pub(super) fn intent_done(
+    /// Grants the attempt if its intent was accepted, and otherwise decides by the log's state of the key.
+    pub(super) fn intent_committed(
         &mut self,
         known: KnownActions<'_>,
         intent: &ActionIntent,
@@ -55,8 +56,8 @@
         }
         let entry = self.entries.shift_remove(&key);
         let decision = match known.actions.get(&key) {
-            Some(standing) if !may_begin_again(standing) => {
-                decide_standing(standing, intent.body_digest)
+            Some(logged_entry) if !allows_new_attempt(logged_entry) => {
+                decide_logged_entry(logged_entry, intent.body_digest)
             }
             _ => Decision::NotOwner,
         };
@@ -66,10 +67,10 @@
         }
     }
 
-    /// Nobody is known to keep the intent, and the try is given up.
+    /// Abandons an attempt whose intent isn't known to be stored anywhere.
     ///
-    /// Its record may still reach the log, as when the append's answer was lost. Since nothing was
-    /// sent, the end "not run" is true, and it makes room for the caller's next try.
+    /// The intent may still reach the log, for example if only the reply to the append was lost. Nothing was sent,
+    /// so the outcome "not run" is correct, and it allows the caller's next attempt.
     pub(super) fn intent_lost(
         &mut self,
         known: KnownActions<'_>,
@@ -86,20 +87,20 @@
         if entry.attempt != intent.attempt {
             return;
         }
-        let (_, waiters) = entry.end_with(ActionEnd::NotRun, known.now);
-        self.commit_end(&key, out);
-        let refused = self.refuse(RefusalReason::NotDurable);
-        out.push(Effect::Reply(ticket, refused.clone()));
+        let (_, waiters) = entry.set_outcome(ActionEnd::NotRun, known.now);
+        self.commit_outcome(&key, out);
+        let refusal = self.refuse(RefusalReason::NotDurable);
+        out.push(Effect::Reply(ticket, refusal.clone()));
         for waiter in waiters {
-            out.push(Effect::Reply(waiter.ticket, refused.clone()));
+            out.push(Effect::Reply(waiter.ticket, refusal.clone()));
         }
     }
 
-    /// An end was read back, but it counts only if the fold took it.
+    /// Handles an outcome that was read back from the log; it is durable only if the fold accepted it.
     ///
-    /// An end that stands in the log before the intent of its try is passed over, as when an owner
-    /// was replaced in an outage. The node that told it must then tell it again.
-    pub(super) fn end_logged(
+    /// The fold ignores an outcome that precedes the intent of its attempt in the log, which happens if an owner
+    /// is replaced during an outage. The node that reported the outcome must then report it again.
+    pub(super) fn outcome_logged(
         &mut self,
         known: KnownActions<'_>,
         outcome: &ActionOutcome,
@@ -112,20 +113,21 @@
         if entry.attempt != outcome.attempt {
             return;
         }
-        let standing = known.actions.get(&key);
-        let standing = standing.filter(|standing| standing.attempt == outcome.attempt);
-        let counts = standing.is_some_and(|standing| standing.end.is_some());
-        // Nothing was begun by the log, so there is nothing to end.
-        let moot = standing.is_none() && outcome.outcome == ActionEnd::NotRun;
-        if counts || moot {
+        let logged_entry = known.actions.get(&key);
+        let logged_entry = logged_entry.filter(|logged| logged.attempt == outcome.attempt);
+        let is_accepted = logged_entry.is_some_and(|logged| logged.end.is_some());
+        // The log has no intent for this attempt, so "not run" need not be recorded.
+        let is_redundant = logged_entry.is_none() && outcome.outcome == ActionEnd::NotRun;
+        if is_accepted || is_redundant {
             entry.mark_logged();
         }
         for ticket in entry.recorders.drain(..) {
-            out.push(Effect::Recorded(ticket, counts || moot));
+            out.push(Effect::Recorded(ticket, is_accepted || is_redundant));
         }
     }
 
-    pub(super) fn entry_for_end(
+    /// Returns the key's entry, and creates it from the log's state if there is none.
+    pub(super) fn entry_for_outcome(
         &mut self,
         known: KnownActions<'_>,
         key: &ActionKey,
@@ -141,7 +143,7 @@
             },
             waiters: Vec::new(),
             recorders: Vec::new(),
-            touched: known.now,
+            updated_at: known.now,
         })
     }
 
@@ -153,12 +155,12 @@
         }));
     }
 
-    pub(super) fn commit_end(&self, key: &ActionKey, out: &mut Vec<Effect>) {
+    pub(super) fn commit_outcome(&self, key: &ActionKey, out: &mut Vec<Effect>) {
         let Some(entry) = self.entries.get(key) else {
             return;
         };
         if let Phase::Ended { end, .. } = &entry.phase {
-            let outcome = outcome_of(key, entry.attempt.clone(), end.clone());
+            let outcome = action_outcome(key, entry.attempt.clone(), end.clone());
             out.push(Effect::Commit(self.outcome_item(outcome)));
         }
     }
@@ -172,7 +174,11 @@
     }
 }
 
-pub(super) fn outcome_of(key: &ActionKey, attempt: AttemptId, outcome: ActionEnd) -> ActionOutcome {
+pub(super) fn action_outcome(
+    key: &ActionKey,
+    attempt: AttemptId,
+    outcome: ActionEnd,
+) -> ActionOutcome {
     ActionOutcome {
         customer: key.customer.clone(),
         service: key.service.clone(),
--- a/crates/sesamecart-actions/src/owner/entry.rs
+++ b/crates/sesamecart-actions/src/owner/entry.rs
@@ -1,83 +1,84 @@
-//! What an owner holds of one key beside the log.
+//! An owner's in-memory state of one key.
 
 use sesamecart_fold::ActionEnd;
 use sesamecart_vocabulary::{AttemptId, BodyDigest, Timestamp};
 
-use crate::asking::{Asking, Ticket};
+use crate::decision::{Asking, Ticket};
 
-/// How far the try of a key has come.
+/// The phase of a key's current attempt.
 #[derive(Debug)]
 pub(super) enum Phase {
-    /// Its intent is being made durable.
+    /// The intent is being stored durably.
     Committing {
-        /// The call that waits for it.
+        /// The call that is waiting for the decision.
         ticket: Ticket,
-        /// When its end must be told, if it is allowed.
+        /// The deadline for reporting the outcome, if the attempt is granted.
         until: Timestamp,
     },
-    /// It may be sent.
+    /// The attempt may be sent.
     Granted {
-        /// When its end must be told.
+        /// The deadline for reporting the outcome.
         until: Timestamp,
     },
-    /// It ended.
+    /// The attempt has ended.
     Ended {
-        /// How.
+        /// The outcome.
         end: ActionEnd,
-        /// Whether the log tells of it, or need not.
+        /// Whether the log has the outcome or doesn't need it.
         logged: bool,
     },
 }
 
-/// A call that waits for a key's first answer.
+/// A call that is waiting for the outcome of another attempt for the same key.
 #[derive(Debug)]
-pub(super) struct Asker {
+pub(super) struct Waiter {
     pub(super) ticket: Ticket,
     pub(super) asking: Asking,
 }
 
-/// One key.
+/// The state of one key.
 #[derive(Debug)]
 pub(super) struct Entry {
     pub(super) body_digest: BodyDigest,
     pub(super) attempt: AttemptId,
     pub(super) phase: Phase,
-    pub(super) waiters: Vec<Asker>,
-    /// The calls that told the end and wait until it is durable.
+    pub(super) waiters: Vec<Waiter>,
+    /// The calls that reported the outcome and are waiting for it to become durable.
     pub(super) recorders: Vec<Ticket>,
-    pub(super) touched: Timestamp,
+    /// When the entry was created or the outcome was last reported.
+    pub(super) updated_at: Timestamp,
 }
 
 impl Entry {
-    /// Lets a call wait and returns whether there was room.
+    /// Adds a waiting call and returns whether there was room for it.
     ///
-    /// A node that asks again for the same try takes the place of its earlier call.
-    pub(super) fn wait(&mut self, asker: Asker, max_waiters: usize) -> bool {
+    /// A repeated call for the same attempt replaces the earlier one.
+    pub(super) fn add_waiter(&mut self, waiter: Waiter, max_waiters: usize) -> bool {
         let earlier = self
             .waiters
             .iter_mut()
-            .find(|waiter| waiter.asking.attempt == asker.asking.attempt);
+            .find(|earlier| earlier.asking.attempt == waiter.asking.attempt);
         if let Some(earlier) = earlier {
-            *earlier = asker;
+            *earlier = waiter;
             return true;
         }
         if self.waiters.len() >= max_waiters {
             return false;
         }
-        self.waiters.push(asker);
+        self.waiters.push(waiter);
         true
     }
 
-    /// Notes an end, and returns whether it was news and who waited for it.
+    /// Records an outcome, and returns whether the entry changed and the calls that were waiting for it.
     ///
-    /// A known end stands; only one that was unknown can still become known.
-    pub(super) fn end_with(&mut self, end: ActionEnd, now: Timestamp) -> (bool, Vec<Asker>) {
-        self.touched = now;
-        let known = match &self.phase {
+    /// A known outcome is final; only [`ActionEnd::Unknown`] can be replaced.
+    pub(super) fn set_outcome(&mut self, end: ActionEnd, now: Timestamp) -> (bool, Vec<Waiter>) {
+        self.updated_at = now;
+        let is_final = match &self.phase {
             Phase::Ended { end, .. } => *end != ActionEnd::Unknown,
             Phase::Committing { .. } | Phase::Granted { .. } => false,
         };
-        if known {
+        if is_final {
             return (false, Vec::new());
         }
         self.phase = Phase::Ended { end, logged: false };
@@ -88,7 +89,7 @@
         matches!(self.phase, Phase::Ended { logged: true, .. })
     }
 
-    /// Notes that the log tells of the end, or need not.
+    /// Marks the outcome as present in the log, or as not needed there.
     pub(super) fn mark_logged(&mut self) {
         if let Phase::Ended { logged, .. } = &mut self.phase {
             *logged = true;
--- a/crates/sesamecart-actions/tests/at_most_once.rs
+++ b/crates/sesamecart-actions/tests/at_most_once.rs
@@ -1,94 +1,95 @@
-//! A keyed action runs at most once, whatever happens to its owners, the log and the voters.
+//! A keyed action runs at most once despite failures of its owners, the log and the voters.
 
-mod world;
+mod simulation;
 
 use sesamecart_property::check_property;
-use world::{Shortcut, World};
+use simulation::{Mutant, Simulation};
 
-/// The steps of one random history.
+/// The number of steps in one random history.
 const STEPS: usize = 200;
-/// The histories that a shortcut gets to show what it breaks.
+/// The number of histories within which each mutant must be detected.
 const HISTORIES: u64 = 1_000;
 
-fn history(seed: u64, shortcut: Shortcut) -> Result<World, String> {
-    let mut world = World::new(seed, shortcut);
+fn run_history(seed: u64, mutant: Mutant) -> Result<Simulation, String> {
+    let mut simulation = Simulation::new(seed, mutant);
     for _ in 0..STEPS {
-        world.step();
-        world
+        simulation.step();
+        simulation
             .check()
             .map_err(|fault| format!("seed {seed}: {fault}"))?;
     }
-    Ok(world)
+    Ok(simulation)
 }
 
-/// Owners crash, are paused and race each other, the log goes out, loses answers and lands appends
-/// late, voters restart and forget. A user would notice a booking that ran twice, or one that was
-/// refused as not run and ran all the same.
+/// Owners crash, pause and compete with each other; the log becomes unavailable, loses replies and applies
+/// appends late; voters restart and lose their state. Guards against an action that runs twice, and against one
+/// that runs although its caller was told that it had not.
 #[test]
-fn no_history_runs_an_action_twice() {
+fn no_action_runs_twice() {
     check_property(bolero::produce::<u64>(), |seed: &u64| {
-        if let Err(fault) = history(*seed, Shortcut::None) {
+        if let Err(fault) = run_history(*seed, Mutant::None) {
             panic!("{fault}");
         }
     });
 }
 
-/// The histories must reach the cases that they are meant for.
+/// The random histories must cover every path of the protocol.
 #[test]
-fn histories_reach_every_path() {
-    let mut total = world::Seen::default();
+fn histories_cover_every_path() {
+    let mut coverage = simulation::Coverage::default();
     for seed in 0..300 {
-        total.add(&history(seed, Shortcut::None).unwrap().seen);
+        coverage.add(&run_history(seed, Mutant::None).unwrap().coverage);
     }
-    assert!(total.sent > 0, "{total:?}");
-    assert!(total.mirrored > 0, "{total:?}");
-    assert!(total.adopted > 0, "{total:?}");
-    assert!(total.given_again > 0, "{total:?}");
-    assert!(total.unknown > 0, "{total:?}");
-    assert!(total.refused > 0, "{total:?}");
-    assert!(total.resumed_grants > 0, "{total:?}");
-    assert!(total.renewed > 0, "{total:?}");
+    assert!(coverage.sent > 0, "{coverage:?}");
+    assert!(coverage.mirrored > 0, "{coverage:?}");
+    assert!(coverage.recovered > 0, "{coverage:?}");
+    assert!(coverage.replayed > 0, "{coverage:?}");
+    assert!(coverage.unknown > 0, "{coverage:?}");
+    assert!(coverage.refused > 0, "{coverage:?}");
+    assert!(coverage.repeated_grants > 0, "{coverage:?}");
+    assert!(coverage.renewed > 0, "{coverage:?}");
 }
 
-macro_rules! shortcut_runs_twice {
-    ($($name:ident: $shortcut:ident from $from:literal;)*) => {$(
+macro_rules! mutant_runs_action_twice {
+    ($($name:ident: $mutant:ident from $from:literal;)*) => {$(
         #[test]
         fn $name() {
             let mut seeds = $from..$from + HISTORIES;
-            let broken = seeds.find_map(|seed| history(seed, Shortcut::$shortcut).err());
-            let fault = broken.expect("the check must notice this shortcut");
+            let failure = seeds.find_map(|seed| run_history(seed, Mutant::$mutant).err());
+            let fault = failure.expect("the check must detect this mutant");
             assert!(fault.contains("ran 2 times"), "{fault}");
         }
     )*};
 }
 
-// Each leaves one rule of docs/design/actions.md out, so the check is known to notice its loss. The
-// search begins at the first seed that is known to show it.
-shortcut_runs_twice! {
-    owner_that_does_not_read_back: NoReadBack from 882;
-    owner_that_does_not_ask_the_voters: NoGather from 39;
-    voter_that_promises_before_it_has_read_the_log: EarlyPromise from 2_809;
-    voter_that_ignores_the_claim_it_applied: PromiseToAll from 6_414;
-    owner_that_is_content_with_one_voter: OneVoter from 3_412;
+// Each mutant omits one rule of docs/design/actions.md, which shows that the check detects a violation of it.
+// The search starts at the first seed that is known to expose the mutant.
+mutant_runs_action_twice! {
+    owner_without_read_back_is_detected: NoReadBack from 882;
+    owner_without_intent_recovery_is_detected: NoIntentRecovery from 39;
+    voter_that_stores_before_reading_the_log_is_detected: StoresBeforeLogRead from 2_809;
+    voter_that_ignores_applied_claim_is_detected: IgnoresAppliedClaim from 6_414;
+    owner_without_voter_majority_is_detected: OneVoter from 3_412;
 }
 
-fn renewal(seed: u64, shortcut: Shortcut) -> Result<(), String> {
-    let mut world = World::with_nodes(seed, shortcut, 5);
-    world.renew_with_intents_at_the_voters();
-    world
+fn run_renewal(seed: u64, mutant: Mutant) -> Result<(), String> {
+    let mut simulation = Simulation::with_nodes(seed, mutant, 5);
+    simulation.crash_after_renewal_with_mirrored_intents();
+    simulation
         .check()
         .map_err(|fault| format!("seed {seed}: {fault}"))
 }
 
-/// An owner hands an action to its voters while the log is out, and dies right after the log is back.
-/// Had it changed its voters in between, the next owner would ask only the new ones, and the user's
-/// repeated booking would run twice.
+/// An owner mirrors an intent to its voters during a log outage and crashes right after the log has recovered. If
+/// it replaced its voters in between, the next owner would query only the new ones, and a retry of the action
+/// would run twice.
 #[test]
-fn owner_changes_no_voters_while_intents_are_with_them() {
+fn owner_keeps_its_voters_while_intents_are_mirrored() {
     for seed in 0..HISTORIES {
-        assert_eq!(renewal(seed, Shortcut::None), Ok(()));
+        assert_eq!(run_renewal(seed, Mutant::None), Ok(()));
     }
-    let broken = (0..HISTORIES).find_map(|seed| renewal(seed, Shortcut::RenewAtOnce).err());
-    let fault = broken.expect("the check must notice this shortcut");
+    let failure =
+        (0..HISTORIES).find_map(|seed| run_renewal(seed, Mutant::RenewsWithMirroredIntents).err());
+    let fault = failure.expect("the check must detect this mutant");
     assert!(fault.contains("ran 2 times"), "{fault}");
 }
--- a/crates/sesamecart-actions/tests/world/mod.rs
+++ b/crates/sesamecart-actions/tests/simulation/mod.rs
@@ -1,4 +1,4 @@
-//! A few nodes, one log and a few keys, moved by a seeded scheduler that has no mercy.
+//! A simulation of a few nodes, one log and a few keys, driven by a seeded scheduler that injects faults.
 
 use fastrand::Rng;
 use indexmap::IndexMap;
@@ -12,95 +12,95 @@
 };
 use std::time::Duration;
 
-/// The fewest nodes of a history; every second one has one more, so that voters change.
+/// The minimum number of nodes; odd seeds use one more, so that the set of voters changes.
 const NODES: usize = 3;
 const VOTERS: usize = 3;
 const KEYS: usize = 2;
 const SHARD: ShardId = ShardId(0);
 
-/// A rule that is left out, to see that the check notices.
+/// A rule of the protocol that is omitted to show that the check detects its absence.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Shortcut {
+pub enum Mutant {
     None,
     NoReadBack,
-    NoGather,
-    EarlyPromise,
-    PromiseToAll,
+    NoIntentRecovery,
+    StoresBeforeLogRead,
+    IgnoresAppliedClaim,
     OneVoter,
-    RenewAtOnce,
+    RenewsWithMirroredIntents,
 }
 
-/// How often the histories reached what they are meant for.
+/// How often the histories reached each path of the protocol.
 #[derive(Clone, Debug, Default)]
-pub struct Seen {
+pub struct Coverage {
     pub sent: u32,
     pub mirrored: u32,
-    pub adopted: u32,
-    pub given_again: u32,
+    pub recovered: u32,
+    pub replayed: u32,
     pub unknown: u32,
     pub refused: u32,
-    pub resumed_grants: u32,
+    pub repeated_grants: u32,
     pub renewed: u32,
 }
 
-impl Seen {
+impl Coverage {
     pub fn add(&mut self, other: &Self) {
         self.sent += other.sent;
         self.mirrored += other.mirrored;
-        self.adopted += other.adopted;
-        self.given_again += other.given_again;
+        self.recovered += other.recovered;
+        self.replayed += other.replayed;
         self.unknown += other.unknown;
         self.refused += other.refused;
-        self.resumed_grants += other.resumed_grants;
+        self.repeated_grants += other.repeated_grants;
         self.renewed += other.renewed;
     }
 }
 
 struct Node {
     id: NodeId,
-    life: u64,
+    incarnation: u64,
     fold: Fold,
     commit: GroupCommit,
     owner: Option<Owner>,
     gather: Option<Gather>,
     mirrors: Mirrors,
-    /// A claim for fresh voters is sent and its verdict isn't read.
+    /// Whether a claim with new voters was sent whose result hasn't been read yet.
     renewing: bool,
 }
 
-/// How far a caller's try has come.
+/// The progress of a caller's attempt.
 #[derive(Clone, Debug, Eq, PartialEq)]
 enum Progress {
-    Asking,
-    Allowed,
-    /// The node that made it died or is done.
-    Over,
+    Pending,
+    Granted,
+    /// The node that made the attempt has crashed or finished.
+    Done,
 }
 
-struct Try {
+struct Attempt {
     key: ActionKey,
-    attempt: AttemptId,
+    id: AttemptId,
     progress: Progress,
-    /// The end that is to be told to an owner.
+    /// The outcome to report to an owner.
     end: Option<ActionEnd>,
     told_not_run: bool,
     runs: u32,
 }
 
-pub struct World {
+pub struct Simulation {
     rng: Rng,
-    shortcut: Shortcut,
+    mutant: Mutant,
     now: Timestamp,
     nodes: Vec<Node>,
     log: Vec<Vec<u8>>,
     log_up: bool,
-    /// Appends whose answer was lost and which still are on their way.
-    late: Vec<Vec<u8>>,
-    tries: Vec<Try>,
+    /// Records of appends whose reply was lost and which may still reach the log.
+    late_appends: Vec<Vec<u8>>,
+    attempts: Vec<Attempt>,
     tickets: IndexMap<Ticket, usize>,
     next_ticket: u64,
     fault: Option<String>,
-    pub seen: Seen,
+    pub coverage: Coverage,
 }
 
 fn key(index: usize) -> ActionKey {
@@ -119,9 +119,9 @@
     }
 }
 
-fn node(index: usize, life: u64, settled: bool) -> Node {
+fn node(index: usize, incarnation: u64, has_read_tail: bool) -> Node {
     let mut mirrors = Mirrors::new(MirrorsConfig::default());
-    if settled {
+    if has_read_tail {
         mirrors.settle(Offset(0));
     }
     let config = CommitConfig {
@@ -130,7 +130,7 @@
     };
     Node {
         id: format!("node-{index}").parse().unwrap(),
-        life,
+        incarnation,
         fold: Fold::new(),
         commit: GroupCommit::new(config),
         owner: None,
@@ -140,41 +140,43 @@
     }
 }
 
-impl World {
-    pub fn new(seed: u64, shortcut: Shortcut) -> Self {
-        Self::with_nodes(seed, shortcut, NODES + usize::from(seed % 2 == 1))
+impl Simulation {
+    pub fn new(seed: u64, mutant: Mutant) -> Self {
+        Self::with_nodes(seed, mutant, NODES + usize::from(seed % 2 == 1))
     }
 
-    pub fn with_nodes(seed: u64, shortcut: Shortcut, nodes: usize) -> Self {
+    pub fn with_nodes(seed: u64, mutant: Mutant, nodes: usize) -> Self {
         Self {
             rng: Rng::with_seed(seed),
-            shortcut,
+            mutant,
             now: Timestamp::ZERO,
             nodes: (0..nodes).map(|index| node(index, 1, true)).collect(),
             log: Vec::new(),
             log_up: true,
-            late: Vec::new(),
-            tries: Vec::new(),
+            late_appends: Vec::new(),
+            attempts: Vec::new(),
             tickets: IndexMap::new(),
             next_ticket: 0,
             fault: None,
-            seen: Seen::default(),
+            coverage: Coverage::default(),
         }
     }
 
-    /// Fails if an action ran twice, or ran though its caller was told that it had not.
+    /// Fails if an action ran twice, or ran although its caller was told that it had not.
     pub fn check(&self) -> Result<(), String> {
         if let Some(fault) = &self.fault {
             return Err(fault.clone());
         }
         for index in 0..KEYS {
-            let of_key = || self.tries.iter().filter(|one| one.key == key(index));
+            let of_key = || self.attempts.iter().filter(|one| one.key == key(index));
             let runs: u32 = of_key().map(|one| one.runs).sum();
             if runs > 1 {
                 return Err(format!("key {index} ran {runs} times"));
             }
             if of_key().any(|one| one.told_not_run && one.runs > 0) {
-                return Err(format!("key {index} ran and was told not run"));
+                return Err(format!(
+                    "key {index} ran although its caller was told that it had not"
+                ));
             }
         }
         Ok(())
@@ -183,29 +185,29 @@
     pub fn step(&mut self) {
         let index = self.rng.usize(..self.nodes.len());
         match self.rng.u32(..100) {
-            0..16 => self.ask(index),
-            16..22 => self.ask_again(index),
+            0..16 => self.begin_new(index),
+            16..22 => self.repeat_call(index),
             22..44 => self.commit(index),
             44..52 => self.catch_up(index),
             52..57 => self.claim(index),
             57..67 => self.gather(index),
             67..77 => self.send(),
-            77..85 => self.tell(index),
-            85..89 => self.land_late(),
+            77..85 => self.report_outcome(index),
+            85..89 => self.apply_late_append(),
             89..92 => self.log_up = !self.log_up,
             92..94 => self.crash(index),
-            94..96 => self.forget(index),
+            94..96 => self.forget_logged(index),
             96..98 => self.renew(index),
             _ => self.tick(index),
         }
     }
 
-    /// An owner dies after it has mirrored an action in an outage and, if it may, renewed its voters.
-    pub fn renew_with_intents_at_the_voters(&mut self) {
+    /// Crashes an owner after it has mirrored an intent during an outage and, if allowed, replaced its voters.
+    pub fn crash_after_renewal_with_mirrored_intents(&mut self) {
         self.claim(0);
         (0..self.nodes.len()).for_each(|index| self.read_to_end(index));
         self.log_up = false;
-        self.ask(0);
+        self.begin_new(0);
         self.commit(0);
         self.commit(0);
         self.send();
@@ -221,42 +223,42 @@
             self.gather(1);
         }
         for _ in 0..4 {
-            self.ask(1);
+            self.begin_new(1);
             self.commit(1);
             self.send();
         }
     }
 
-    fn ask(&mut self, index: usize) {
-        let attempt = format!("a-{}", self.tries.len()).parse().unwrap();
-        self.tries.push(Try {
+    fn begin_new(&mut self, index: usize) {
+        let id = format!("a-{}", self.attempts.len()).parse().unwrap();
+        self.attempts.push(Attempt {
             key: key(self.rng.usize(..KEYS)),
-            attempt,
-            progress: Progress::Asking,
+            id,
+            progress: Progress::Pending,
             end: None,
             told_not_run: false,
             runs: 0,
         });
-        self.ask_for(index, self.tries.len() - 1);
+        self.begin(index, self.attempts.len() - 1);
     }
 
-    /// A node lost the owner's reply, or the owner, and asks for the same try again.
-    fn ask_again(&mut self, index: usize) {
-        let asking: Vec<_> = (0..self.tries.len())
-            .filter(|one| self.tries[*one].progress == Progress::Asking)
+    /// Repeats a call for the same attempt, as if the owner or its reply was lost.
+    fn repeat_call(&mut self, index: usize) {
+        let pending: Vec<_> = (0..self.attempts.len())
+            .filter(|one| self.attempts[*one].progress == Progress::Pending)
             .collect();
-        if !asking.is_empty() {
-            let one = asking[self.rng.usize(..asking.len())];
-            self.ask_for(index, one);
+        if !pending.is_empty() {
+            let one = pending[self.rng.usize(..pending.len())];
+            self.begin(index, one);
         }
     }
 
-    fn ask_for(&mut self, index: usize, one: usize) {
+    fn begin(&mut self, index: usize, one: usize) {
         let ticket = self.ticket(one);
         let asking = Asking {
-            key: self.tries[one].key.clone(),
+            key: self.attempts[one].key.clone(),
             body_digest: BodyDigest::of(b"body"),
-            attempt: self.tries[one].attempt.clone(),
+            attempt: self.attempts[one].id.clone(),
             until: self.now + Duration::from_secs(1),
         };
         self.with_owner(index, |owner, known, out| {
@@ -274,7 +276,7 @@
     fn with_owner(
         &mut self,
         index: usize,
-        act: impl FnOnce(&mut Owner, KnownActions<'_>, &mut Vec<Effect>),
+        call: impl FnOnce(&mut Owner, KnownActions<'_>, &mut Vec<Effect>),
     ) {
         let now = self.now;
         let node = &mut self.nodes[index];
@@ -288,7 +290,7 @@
             has_room: node.commit.has_room(),
         };
         let mut out = Vec::new();
-        act(owner, known, &mut out);
+        call(owner, known, &mut out);
         self.carry_out(index, out);
     }
 
@@ -304,35 +306,35 @@
 
     fn reply(&mut self, ticket: Ticket, decision: Decision) {
         let one = self.tickets[&ticket];
-        // Replies get lost.
-        if self.tries[one].progress != Progress::Asking || self.rng.u32(..10) == 0 {
+        // Some replies are lost.
+        if self.attempts[one].progress != Progress::Pending || self.rng.u32(..10) == 0 {
             return;
         }
-        let key = self.tries[one].key.clone();
+        let key = self.attempts[one].key.clone();
         match decision {
             Decision::Send { .. } => {
                 if self.tickets.values().filter(|other| **other == one).count() > 1 {
-                    self.seen.resumed_grants += 1;
+                    self.coverage.repeated_grants += 1;
                 }
-                self.tries[one].progress = Progress::Allowed;
+                self.attempts[one].progress = Progress::Granted;
             }
             Decision::Answered(answer) => {
-                self.seen.given_again += 1;
-                self.tries[one].progress = Progress::Over;
-                let mut of_key = self.tries.iter().filter(|other| other.key == key);
-                if !of_key.any(|other| other.runs == 1 && answer == answer_of(&other.attempt)) {
-                    self.fault = Some(format!("{key} was answered and has not run"));
+                self.coverage.replayed += 1;
+                self.attempts[one].progress = Progress::Done;
+                let mut of_key = self.attempts.iter().filter(|other| other.key == key);
+                if !of_key.any(|other| other.runs == 1 && answer == answer_of(&other.id)) {
+                    self.fault = Some(format!("{key} was answered but has not run"));
                 }
             }
             Decision::Refused { .. } | Decision::NotOwner => {
-                self.seen.refused += 1;
-                self.tries[one].progress = Progress::Over;
-                self.tries[one].told_not_run = true;
-                self.tries[one].end = Some(ActionEnd::NotRun);
+                self.coverage.refused += 1;
+                self.attempts[one].progress = Progress::Done;
+                self.attempts[one].told_not_run = true;
+                self.attempts[one].end = Some(ActionEnd::NotRun);
             }
             Decision::Unknown { .. } => {
-                self.seen.unknown += 1;
-                self.tries[one].progress = Progress::Over;
+                self.coverage.unknown += 1;
+                self.attempts[one].progress = Progress::Done;
             }
             Decision::Running { .. } | Decision::Mismatch | Decision::Expired => {}
         }
@@ -350,15 +352,15 @@
     fn append(&mut self, index: usize, batch: LogBatch) {
         let record = Record::ActionBatch { parts: batch.parts }.encode();
         let fate = self.rng.u32(..10);
-        let done = match fate {
+        let is_appended = match fate {
             _ if !self.log_up => false,
-            // The answer is lost and the append lands at once, later or never.
+            // The reply is lost, and the append takes effect at once, later or never.
             0 => {
                 self.log.push(record);
                 false
             }
             1 => {
-                self.late.push(record);
+                self.late_appends.push(record);
                 false
             }
             2 => false,
@@ -367,28 +369,30 @@
                 true
             }
         };
-        if done && self.shortcut != Shortcut::NoReadBack {
+        if is_appended && self.mutant != Mutant::NoReadBack {
             self.read_to_end(index);
         }
         let now = self.now;
-        let durable = self.nodes[index].commit.logged(now, batch.id, done);
-        for one in durable {
-            let one = if self.shortcut == Shortcut::NoReadBack {
-                trusting(one)
+        let durable = self.nodes[index].commit.logged(now, batch.id, is_appended);
+        for item in durable {
+            let item = if self.mutant == Mutant::NoReadBack {
+                assume_accepted(item)
             } else {
-                one
+                item
             };
-            self.with_owner(index, |owner, known, out| owner.committed(known, &one, out));
+            self.with_owner(index, |owner, known, out| {
+                owner.committed(known, &item, out)
+            });
         }
         self.depose_if_replaced(index);
     }
 
     fn mirror(&mut self, index: usize, batch: MirrorBatch) {
-        let mut kept = 0;
+        let mut stored = 0;
         let lease = self.nodes[index].fold.state().leases.get(&SHARD).cloned();
         let voters = lease.map(|lease| lease.voters).unwrap_or_default();
         for voter in 0..self.nodes.len() {
-            if self.nodes[index].renewing && self.shortcut != Shortcut::RenewAtOnce {
+            if self.nodes[index].renewing && self.mutant != Mutant::RenewsWithMirroredIntents {
                 break;
             }
             if !voters.contains(&self.nodes[voter].id) {
@@ -398,23 +402,26 @@
                 continue;
             }
             let lease = self.nodes[voter].fold.state().leases.get(&SHARD);
-            let mut in_force = lease.map(|lease| lease.epoch);
-            if self.shortcut == Shortcut::PromiseToAll {
-                in_force = Some(batch.epoch);
+            let mut current_epoch = lease.map(|lease| lease.epoch);
+            if self.mutant == Mutant::IgnoresAppliedClaim {
+                current_epoch = Some(batch.epoch);
             }
             let mirrors = &mut self.nodes[voter].mirrors;
-            kept += usize::from(mirrors.keep(batch.shard, batch.epoch, in_force, &batch.intents));
+            stored +=
+                usize::from(mirrors.keep(batch.shard, batch.epoch, current_epoch, &batch.intents));
         }
-        let needed = if self.shortcut == Shortcut::OneVoter {
+        let needed = if self.mutant == Mutant::OneVoter {
             1
         } else {
             voters.len() / 2 + 1
         };
-        let enough = kept >= needed;
-        self.seen.mirrored += u32::from(enough);
-        let durable = self.nodes[index].commit.mirrored(batch.id, enough);
-        for one in durable {
-            self.with_owner(index, |owner, known, out| owner.committed(known, &one, out));
+        let is_mirrored = stored >= needed;
+        self.coverage.mirrored += u32::from(is_mirrored);
+        let durable = self.nodes[index].commit.mirrored(batch.id, is_mirrored);
+        for item in durable {
+            self.with_owner(index, |owner, known, out| {
+                owner.committed(known, &item, out)
+            });
         }
     }
 
@@ -423,8 +430,8 @@
             return;
         }
         let next = self.nodes[index].fold.state().next_offset.0;
-        let left = self.log.len() as u64 - next;
-        let to = next + self.rng.u64(..=left);
+        let unread = self.log.len() as u64 - next;
+        let to = next + self.rng.u64(..=unread);
         self.read_to(index, to);
         self.depose_if_replaced(index);
     }
@@ -448,12 +455,12 @@
         let node = &mut self.nodes[index];
         let lease = node.fold.state().leases.get(&SHARD);
         let epoch = lease.map(|lease| lease.epoch);
-        let own = lease.is_some_and(|lease| {
-            lease.holder == node.id && lease.incarnation == Incarnation(node.life)
+        let is_own_lease = lease.is_some_and(|lease| {
+            lease.holder == node.id && lease.incarnation == Incarnation(node.incarnation)
         });
         if let Some(owner) = &mut node.owner
             && let Some(epoch) = epoch
-            && own
+            && is_own_lease
             && epoch > owner.epoch()
         {
             owner.renew(epoch);
@@ -477,7 +484,7 @@
         let claim = Record::Claim {
             shard: SHARD,
             holder: node.id.clone(),
-            incarnation: Incarnation(node.life),
+            incarnation: Incarnation(node.incarnation),
             builds_on: last.as_ref().map(|lease| lease.epoch),
             voters,
         };
@@ -496,7 +503,7 @@
             |lease| Gather::new(lease.epoch, lease.voters),
         );
         node.gather = Some(gather);
-        if self.shortcut == Shortcut::NoGather {
+        if self.mutant == Mutant::NoIntentRecovery {
             self.adopt(index, Vec::new());
         }
         self.adopt_if_complete(index);
@@ -509,30 +516,31 @@
         ids
     }
 
-    /// An owner claims its own shard again for fresh voters; the record may land late or never.
+    /// Claims an owner's shard again with new voters; the record may reach the log late or never.
     fn renew(&mut self, index: usize) {
         let voters = self.choose_voters();
         let node = &mut self.nodes[index];
         let Some(owner) = &node.owner else {
             return;
         };
-        let mirrored = node.commit.is_mirrored(SHARD);
-        if owner.is_gathering() || mirrored && self.shortcut != Shortcut::RenewAtOnce {
+        let has_mirrored = node.commit.is_mirrored(SHARD);
+        if owner.is_gathering() || has_mirrored && self.mutant != Mutant::RenewsWithMirroredIntents
+        {
             return;
         }
         let claim = Record::Claim {
             shard: SHARD,
             holder: node.id.clone(),
-            incarnation: Incarnation(node.life),
+            incarnation: Incarnation(node.incarnation),
             builds_on: Some(owner.epoch()),
             voters,
         };
         node.renewing = true;
         if self.log_up && self.rng.u32(..3) > 0 {
             self.log.push(claim.encode());
-            self.seen.renewed += 1;
+            self.coverage.renewed += 1;
         } else {
-            self.late.push(claim.encode());
+            self.late_appends.push(claim.encode());
         }
     }
 
@@ -541,8 +549,11 @@
         let Some(epoch) = self.nodes[index].owner.as_ref().map(Owner::epoch) else {
             return;
         };
-        let in_force = self.nodes[voter].fold.state().epoch(SHARD);
-        let Some(gathered) = self.nodes[voter].mirrors.gather(SHARD, epoch, in_force) else {
+        let current_epoch = self.nodes[voter].fold.state().epoch(SHARD);
+        let Some(gathered) = self.nodes[voter]
+            .mirrors
+            .gather(SHARD, epoch, current_epoch)
+        else {
             return;
         };
         let voter = self.nodes[voter].id.clone();
@@ -560,25 +571,25 @@
     }
 
     fn adopt(&mut self, index: usize, intents: Vec<sesamecart_fold::ActionIntent>) {
-        self.seen.adopted += u32::try_from(intents.len()).unwrap();
+        self.coverage.recovered += u32::try_from(intents.len()).unwrap();
         self.nodes[index].gather = None;
         self.with_owner(index, |owner, known, out| {
             owner.adopt(known, intents, true, out)
         });
     }
 
-    /// A node that was allowed to send does so, or dies before or after.
+    /// Sends a granted attempt; its node may crash before or after sending.
     fn send(&mut self) {
-        let allowed: Vec<_> = (0..self.tries.len())
-            .filter(|one| self.tries[*one].progress == Progress::Allowed)
+        let granted: Vec<_> = (0..self.attempts.len())
+            .filter(|one| self.attempts[*one].progress == Progress::Granted)
             .collect();
-        if allowed.is_empty() {
+        if granted.is_empty() {
             return;
         }
-        let one = allowed[self.rng.usize(..allowed.len())];
+        let one = granted[self.rng.usize(..granted.len())];
         let fate = self.rng.u32(..8);
-        let sent = &mut self.tries[one];
-        sent.progress = Progress::Over;
+        let sent = &mut self.attempts[one];
+        sent.progress = Progress::Done;
         match fate {
             0 => {
                 sent.told_not_run = true;
@@ -588,50 +599,52 @@
             1 => return,
             2 => {}
             3 => sent.end = Some(ActionEnd::Unknown),
-            _ => sent.end = Some(answer_of(&sent.attempt).into()),
+            _ => sent.end = Some(answer_of(&sent.id).into()),
         }
         sent.runs += 1;
-        self.seen.sent += 1;
+        self.coverage.sent += 1;
     }
 
-    /// A node tells an owner how a try ended, perhaps more than once.
-    fn tell(&mut self, index: usize) {
-        let ended: Vec<_> = (0..self.tries.len())
-            .filter(|one| self.tries[*one].end.is_some())
+    /// Reports the outcome of an attempt to an owner, possibly more than once.
+    fn report_outcome(&mut self, index: usize) {
+        let reportable: Vec<_> = (0..self.attempts.len())
+            .filter(|one| self.attempts[*one].end.is_some())
             .collect();
-        if ended.is_empty() {
+        if reportable.is_empty() {
             return;
         }
-        let one = ended[self.rng.usize(..ended.len())];
+        let one = reportable[self.rng.usize(..reportable.len())];
         let ticket = self.ticket(one);
-        let told = &self.tries[one];
-        let (key, attempt) = (told.key.clone(), told.attempt.clone());
-        let end = told.end.clone().unwrap();
+        let ended = &self.attempts[one];
+        let (key, attempt) = (ended.key.clone(), ended.id.clone());
+        let end = ended.end.clone().unwrap();
         self.with_owner(index, |owner, known, out| {
             owner.finish(known, ticket, &key, &attempt, end, out);
         });
     }
 
-    fn land_late(&mut self) {
-        if !self.late.is_empty() {
-            let record = self.late.remove(self.rng.usize(..self.late.len()));
+    fn apply_late_append(&mut self) {
+        if !self.late_appends.is_empty() {
+            let record = self
+                .late_appends
+                .remove(self.rng.usize(..self.late_appends.len()));
             self.log.push(record);
         }
     }
 
-    /// A node dies, and a new one without memory takes its name.
+    /// Replaces a node by a new process that has the same name and no state.
     fn crash(&mut self, index: usize) {
-        let life = self.nodes[index].life + 1;
-        let settled = self.shortcut == Shortcut::EarlyPromise;
-        let mut fresh = node(index, life, settled);
-        if settled {
-            // It takes the folded state from a peer and promises at once, without the log's tail.
-            fresh.fold = self.nodes[(index + 1) % self.nodes.len()].fold.clone();
+        let incarnation = self.nodes[index].incarnation + 1;
+        let has_read_tail = self.mutant == Mutant::StoresBeforeLogRead;
+        let mut new_node = node(index, incarnation, has_read_tail);
+        if has_read_tail {
+            // The new process copies the fold from a peer and stores intents before it has read the log's tail.
+            new_node.fold = self.nodes[(index + 1) % self.nodes.len()].fold.clone();
         }
-        self.nodes[index] = fresh;
+        self.nodes[index] = new_node;
     }
 
-    fn forget(&mut self, index: usize) {
+    fn forget_logged(&mut self, index: usize) {
         let node = &mut self.nodes[index];
         node.mirrors.forget_logged(&node.fold.state().actions);
     }
@@ -642,8 +655,8 @@
     }
 }
 
-/// Takes an acknowledged append for a standing intent.
-fn trusting(durable: sesamecart_actions::Durable) -> sesamecart_actions::Durable {
+/// Treats an acknowledged append as an accepted intent.
+fn assume_accepted(durable: sesamecart_actions::Durable) -> sesamecart_actions::Durable {
     match durable {
         sesamecart_actions::Durable::Logged(item) => sesamecart_actions::Durable::Mirrored(item),
         other => other,
