--- a/crates/sesamecart-actions/src/commit.rs
+++ b/crates/sesamecart-actions/src/commit.rs
@@ -1,9 +1,9 @@
 //! Group commit: batches the intents and outcomes of many keys into one log append, or sends the intents to
 //! voters during a log outage.
 //!
-//! With one append per action, a few concurrent callers would exceed the log's rate limit. An idle node appends
-//! its first item at once. Items that arrive while appends are in flight, or while the node's share of the rate
-//! is used up, are queued and go into the next append together.
+//! With one append per action, a few concurrent callers would exceed the log's rate limit. An idle node
+//! appends its first item at once. Items that arrive while appends are in flight, or while the node's share
+//! of the rate is used up, are queued and go into the next append together.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -141,7 +141,7 @@
 pub enum IntentVerdict {
     /// The fold has accepted the intent: its attempt may be sent.
     Stands,
-    /// Another attempt for the is_selected key came first.
+    /// Another attempt for the same key came first.
     Another,
     /// The fold ignored the intent because its epoch had passed, or the intent isn't in the log.
     Absent,
@@ -257,9 +257,9 @@
 
     /// Records whether a batch was appended and read back.
     ///
-    /// After a failure, the batch's intents are sent to the voters because callers are waiting for them, and its
-    /// outcomes wait until the log is available again. The record may have reached the log despite the failure;
-    /// appending the items again is harmless because they have the is_selected attempt ids.
+    /// After a failure, the batch's intents are sent to the voters because callers are waiting for them, and
+    /// its outcomes wait until the log is available again. The record may have reached the log despite the
+    /// failure; appending the items again is harmless because they have the same attempt ids.
     pub fn logged(&mut self, now: Timestamp, id: u64, is_appended: bool) -> Vec<Durable> {
         let Some(InFlightAppend { unlogged, new }) = self.appending.shift_remove(&id) else {
             return Vec::new();
@@ -271,8 +271,8 @@
         }
         let probe_at = now + self.config.probe_interval;
         self.path = Path::Voters { probe_at };
-        // The fold ignores an outcome that precedes its intent, so the items that were already waiting go back
-        // to the front.
+        // The fold ignores an outcome that precedes its intent, so the items that were already waiting go
+        // back to the front.
         for item in unlogged.into_iter().rev() {
             self.unlogged.push_front(item);
         }
@@ -413,10 +413,10 @@
     }
 }
 
-/// Groups items by shard so that each outcome is applied after the intent of the is_selected attempt.
+/// Groups items by shard so that each outcome is applied after the intent of the same attempt.
 ///
-/// The fold applies the outcomes of a part before its intents. An outcome whose intent is in the is_selected part would
-/// be ignored, and its key would remain unknown forever, so such an outcome starts a new part.
+/// The fold applies the outcomes of a part before its intents. An outcome whose intent is in the same part
+/// would be ignored, and its key would remain unknown forever, so such an outcome starts a new part.
 fn group_by_shard<'a>(items: impl Iterator<Item = &'a CommitItem>) -> Vec<ActionPart> {
     let mut parts: Vec<ActionPart> = Vec::new();
     let mut last_part: IndexMap<(ShardId, Epoch), usize> = IndexMap::new();
--- a/crates/sesamecart-actions/src/owner.rs
+++ b/crates/sesamecart-actions/src/owner.rs
@@ -80,10 +80,10 @@
 
 /// The owner of one shard's keys under one epoch.
 ///
-/// A successor creates a new instance. Safety doesn't depend on the lease's duration: an intent is effective once
-/// the fold has accepted it or a majority of voters has stored it, and both happen in one order for all owners.
-/// An owner that resumes after a pause can therefore refuse requests or return stored responses, but can't begin
-/// an action that its successor doesn't know of.
+/// A successor creates a new instance. Safety doesn't depend on the lease's duration: an intent is effective
+/// once the fold has accepted it or a majority of voters has stored it, and both happen in one order for all
+/// owners. An owner that resumes after a pause can therefore refuse requests or return stored responses, but
+/// can't begin an action that its successor doesn't know of.
 #[derive(Debug)]
 pub struct Owner {
     shard: ShardId,
@@ -117,8 +117,8 @@
 
     /// Continues under a new epoch that this owner claimed itself, for example to replace its voters.
     ///
-    /// Before it claims, the caller must make sure that the log has every intent of the old epoch, because the
-    /// next owner queries only the new voters.
+    /// Before it claims, the caller must make sure that the log has every intent of the old epoch, because
+    /// the next owner queries only the new voters.
     pub const fn renew(&mut self, epoch: Epoch) {
         self.epoch = epoch;
     }
@@ -162,9 +162,9 @@
 
     /// Takes over the intents recovered from the previous owner's voters, and starts to accept new actions.
     ///
-    /// Each recovered action may have run, so its outcome is unknown until it is reported. If too many voters are
-    /// lost, `is_complete` is false, and unknown keys are refused until the retention horizon has passed, because
-    /// an action could otherwise run twice.
+    /// Each recovered action may have run, so its outcome is unknown until it is reported. If too many voters
+    /// are lost, `is_complete` is false, and unknown keys are refused until the retention horizon has passed,
+    /// because an action could otherwise run twice.
     pub fn adopt(
         &mut self,
         known: KnownActions<'_>,
@@ -435,8 +435,8 @@
 
     /// Begins another attempt for a key whose last attempt wasn't run.
     ///
-    /// The last outcome is committed again before the new intent. Its first copy may still be in flight, and the
-    /// fold would then reject the new intent.
+    /// The last outcome is committed again before the new intent. Its first copy may still be in flight, and
+    /// the fold would then reject the new intent.
     fn begin_retry(
         &mut self,
         known: KnownActions<'_>,
--- a/crates/sesamecart-actions/src/owner/durable.rs
+++ b/crates/sesamecart-actions/src/owner/durable.rs
@@ -69,8 +69,8 @@
 
     /// Abandons an attempt whose intent isn't known to be stored anywhere.
     ///
-    /// The intent may still reach the log, for example if only the reply to the append was lost. Nothing was sent,
-    /// so the outcome "not run" is correct, and it allows the caller's next attempt.
+    /// The intent may still reach the log, for example if only the reply to the append was lost. Nothing was
+    /// sent, so the outcome "not run" is correct, and it allows the caller's next attempt.
     pub(super) fn intent_lost(
         &mut self,
         known: KnownActions<'_>,
@@ -98,8 +98,8 @@
 
     /// Handles an outcome that was read back from the log; it is durable only if the fold accepted it.
     ///
-    /// The fold ignores an outcome that precedes the intent of its attempt in the log, which happens if an owner
-    /// is replaced during an outage. The node that reported the outcome must then report it again.
+    /// The fold ignores an outcome that precedes the intent of its attempt in the log, which happens if an
+    /// owner is replaced during an outage. The node that reported the outcome must then report it again.
     pub(super) fn outcome_logged(
         &mut self,
         known: KnownActions<'_>,
--- a/crates/sesamecart-actions/tests/at_most_once.rs
+++ b/crates/sesamecart-actions/tests/at_most_once.rs
@@ -22,8 +22,8 @@
 }
 
 /// Owners crash, pause and compete with each other; the log becomes unavailable, loses replies and applies
-/// appends late; voters restart and lose their state. Guards against an action that runs twice, and against one
-/// that runs although its caller was told that it had not.
+/// appends late; voters restart and lose their state. Guards against an action that runs twice, and against
+/// one that runs although its caller was told that it had not.
 #[test]
 fn no_action_runs_twice() {
     check_property(bolero::produce::<u64>(), |seed: &u64| {
@@ -80,9 +80,9 @@
         .map_err(|fault| format!("seed {seed}: {fault}"))
 }
 
-/// An owner mirrors an intent to its voters during a log outage and crashes right after the log has recovered. If
-/// it replaced its voters in between, the next owner would query only the new ones, and a retry of the action
-/// would run twice.
+/// An owner mirrors an intent to its voters during a log outage and crashes right after the log has
+/// recovered. If it replaced its voters in between, the next owner would query only the new ones, and a retry
+/// of the action would run twice.
 #[test]
 fn owner_keeps_its_voters_while_intents_are_mirrored() {
     for seed in 0..HISTORIES {
--- a/crates/sesamecart-actions/tests/simulation/mod.rs
+++ b/crates/sesamecart-actions/tests/simulation/mod.rs
@@ -202,7 +202,8 @@
         }
     }
 
-    /// Crashes an owner after it has mirrored an intent during an outage and, if allowed, replaced its voters.
+    /// Crashes an owner after it has mirrored an intent during an outage and, if allowed, replaced its
+    /// voters.
     pub fn crash_after_renewal_with_mirrored_intents(&mut self) {
         self.claim(0);
         (0..self.nodes.len()).for_each(|index| self.read_to_end(index));
@@ -638,7 +639,8 @@
         let has_read_tail = self.mutant == Mutant::StoresBeforeLogRead;
         let mut new_node = node(index, incarnation, has_read_tail);
         if has_read_tail {
-            // The new process copies the fold from a peer and stores intents before it has read the log's tail.
+            // The new process copies the fold from a peer and stores intents before it has read the log's
+            // tail.
             new_node.fold = self.nodes[(index + 1) % self.nodes.len()].fold.clone();
         }
         self.nodes[index] = new_node;
--- a/crates/sesamecart-lease/src/leases.rs
+++ b/crates/sesamecart-lease/src/leases.rs
@@ -1,10 +1,10 @@
-//! The leases of all shards as one node sees and holds them.
+//! One node's state machine for the leases of all shards.
 
 use indexmap::{IndexMap, IndexSet};
 use sesamecart_vocabulary::{Epoch, NodeId, ShardId, Timestamp};
 
-use crate::balance::desired_owners;
-use crate::owners::{OwnSpan, Owner, Owners};
+use crate::owner_snapshot::{LeasePeriod, Owner, Owners};
+use crate::placement::desired_owners;
 use crate::record::{ClaimDraft, ClaimSeen, Effect, Holder, LeaseSeen, ReleaseSeen, Verdict};
 use crate::settings::{LeaseSettings, LeaseSettingsError};
 use crate::shard::{Role, Shard};
@@ -12,33 +12,33 @@
 use crate::vote::{Vote, VoteAnswer};
 use crate::voters::{MAX_VOTERS, choose_voters};
 
-/// The leases of all shards as one node sees and holds them.
+/// One node's state machine for the leases of all shards.
 ///
-/// Feed it the records in log order, each tail read that was applied to its end, votes and the
-/// view; call [`Self::tick`] a few times a second and carry out the effects. Publish
-/// [`Self::owners`] to other threads before carrying them out.
+/// The caller passes in the log's records in order, each completely applied tail read, the votes and the
+/// view. It calls [`Self::tick`] a few times per second and carries out the effects, after it has published
+/// [`Self::owners`] to other threads.
 #[derive(Debug)]
 pub struct Leases {
     me: Holder,
     settings: LeaseSettings,
     shards: Vec<Shard>,
     started: Timestamp,
-    /// Whether this life of the node has read the log's tail.
-    settled: bool,
-    /// When the last tail read ended.
-    tail_seen: Option<Timestamp>,
+    /// Whether this process has read the log's tail.
+    has_read_tail: bool,
+    /// When the last tail read finished.
+    last_tail_read_at: Option<Timestamp>,
     leaving: bool,
     pinned: IndexSet<ShardId>,
-    desired_for: View,
+    desired_view: View,
     desired: IndexMap<ShardId, NodeId>,
 }
 
 impl Leases {
-    /// Makes the state of a node that has just started.
+    /// Creates the state of a node that has just started.
     ///
     /// # Errors
     ///
-    /// Returns the first rule that the settings break.
+    /// Returns the first problem found in the settings.
     pub fn new(
         me: Holder,
         shards: u16,
@@ -51,16 +51,17 @@
             settings,
             shards: (0..shards).map(|id| Shard::new(ShardId(id))).collect(),
             started: now,
-            settled: false,
-            tail_seen: None,
+            has_read_tail: false,
+            last_tail_read_at: None,
             leaving: false,
             pinned: IndexSet::new(),
-            desired_for: View::default(),
+            desired_view: View::default(),
             desired: IndexMap::new(),
         })
     }
 
-    /// Takes a lease from a checkpoint or from peers' state; older ones than known are ignored.
+    /// Installs a lease from a checkpoint or from a peer's state; an older one than the known lease is
+    /// ignored.
     pub fn install(&mut self, lease: LeaseSeen) {
         if let Some(shard) = self.shard_mut(lease.shard) {
             shard.install(lease);
@@ -72,7 +73,7 @@
         let (me, settings) = (self.me.clone(), self.settings);
         match self.shard_mut(claim.shard) {
             Some(shard) => shard.apply_claim(claim, &me, &settings, now),
-            None => Verdict::Past,
+            None => Verdict::Stale,
         }
     }
 
@@ -83,30 +84,29 @@
         }
     }
 
-    /// Renews all held leases: a read of the log that began at `begun` reached the tail, and all
-    /// that it showed was applied.
+    /// Renews all held leases after a log read that started at `begun` and was applied up to the tail.
     ///
-    /// Records passed on by peers don't count, as a peer's tail may be old.
+    /// Records forwarded by peers don't renew a lease, because a peer's tail may be outdated.
     pub fn on_tail(&mut self, begun: Timestamp, now: Timestamp) {
-        self.settled = true;
-        self.tail_seen = Some(now);
+        self.has_read_tail = true;
+        self.last_tail_read_at = Some(now);
         for shard in &mut self.shards {
             shard.renew_by_read(begun, &self.settings);
         }
     }
 
-    /// Answers another node's question to this node as a voter.
+    /// Returns whether this node, as a voter, grants another node's request.
     #[must_use]
-    pub fn answer(&self, vote: &Vote, asker: &NodeId) -> bool {
-        let settled = self.settled;
+    pub fn answer(&self, vote: &Vote, requester: &NodeId) -> bool {
+        let has_read_tail = self.has_read_tail;
         #[cfg(test)]
-        let settled =
-            settled || self.settings.mutant == Some(crate::settings::Mutant::ForgetfulVoter);
+        let has_read_tail = has_read_tail
+            || self.settings.mutant == Some(crate::settings::Mutant::VotesBeforeLogRead);
         let shard = self.shards.get(usize::from(vote.shard.0));
-        shard.is_some_and(|shard| shard.answer(vote, asker, settled))
+        shard.is_some_and(|shard| shard.answer(vote, requester, has_read_tail))
     }
 
-    /// Takes a voter's answer.
+    /// Applies a voter's response.
     pub fn on_vote(&mut self, answer: &VoteAnswer, now: Timestamp) {
         let settings = self.settings;
         if let Some(shard) = self.shard_mut(answer.vote.shard) {
@@ -114,31 +114,31 @@
         }
     }
 
-    /// Takes note that a claim of this node is being appended that no effect of [`Self::tick`] asked
-    /// for.
+    /// Records that a claim of this node is being appended that didn't result from an effect of
+    /// [`Self::tick`].
     ///
-    /// Until its verdict is read, a holder doesn't extend by its voters: a claimant that read the
-    /// claim asks only those that it names.
+    /// Until the claim is read back, the holder doesn't extend its lease by votes, because a claimant that
+    /// has read the claim requests votes only from the voters named in it.
     pub fn claim_sent(&mut self, shard: ShardId, now: Timestamp) {
         if let Some(shard) = self.shard_mut(shard) {
-            shard.undecided += 1;
-            shard.appended_at = Some(now);
+            shard.pending_claims += 1;
+            shard.last_append_at = Some(now);
         }
     }
 
-    /// Takes note that the log refused one of this node's claims without appending it.
+    /// Records that the log refused one of this node's claims without appending it.
     ///
-    /// Only a certain refusal counts. After a lost answer the claim may stand in the log.
+    /// The refusal must be certain. If the reply was lost, the log may contain the claim.
     pub fn append_refused(&mut self, shard: ShardId) {
         if let Some(shard) = self.shard_mut(shard) {
-            shard.undecided = shard.undecided.saturating_sub(1);
+            shard.pending_claims = shard.pending_claims.saturating_sub(1);
         }
     }
 
-    /// Notes that this node is about to claim a shard that it holds once more, with other voters.
+    /// Records that this node is about to claim a shard that it already holds again with new voters.
     ///
-    /// Returns whether it may. Until the verdict is read it doesn't extend by the old voters, since
-    /// a claimant that has seen the record asks only the new ones.
+    /// Returns whether it may do so. Until the claim is read back, the holder doesn't extend its lease by the
+    /// old voters' votes, because a claimant that has read the claim requests votes only from the new voters.
     pub fn begin_voter_change(&mut self, shard: ShardId, now: Timestamp) -> bool {
         if self.may_act(shard, now).is_none() {
             return false;
@@ -146,14 +146,14 @@
         let Some(shard) = self.shard_mut(shard) else {
             return false;
         };
-        shard.appended_at = Some(now);
-        shard.undecided += 1;
+        shard.last_append_at = Some(now);
+        shard.pending_claims += 1;
         true
     }
 
-    /// Names the shards whose leases must stay as they are, since duties under them are under way.
+    /// Sets the shards whose leases must not change because work under them is in flight.
     ///
-    /// They are neither handed over nor given new voters until they are no longer named.
+    /// While a shard is pinned, it is neither handed over nor given new voters.
     pub fn pin(&mut self, shards: IndexSet<ShardId>) {
         self.pinned = shards;
     }
@@ -165,12 +165,12 @@
         shard.is_some_and(|shard| matches!(shard.role, Role::Claimant(_)))
     }
 
-    /// Begins to hand over all shards because this node is about to stop.
+    /// Starts to hand over all shards because this node is shutting down.
     pub fn leave(&mut self) {
         self.leaving = true;
     }
 
-    /// Returns whether this node has handed over or lost all that it held.
+    /// Returns whether this node has handed over or lost all shards.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.shards
@@ -178,18 +178,18 @@
             .all(|shard| matches!(shard.role, Role::None))
     }
 
-    /// Returns the epoch under which this node may act for a shard right now.
+    /// Returns the epoch under which this node may act for a shard now, if any.
     #[must_use]
     pub fn may_act(&self, shard: ShardId, now: Timestamp) -> Option<Epoch> {
         let shard = self.shards.get(usize::from(shard.0))?;
-        let own = self.own_span(shard)?;
-        if now < own.from || own.until <= now {
+        let period = self.local_period(shard)?;
+        if now < period.from || period.until <= now {
             return None;
         }
         shard.epoch()
     }
 
-    /// Returns a snapshot of all owners for other threads.
+    /// Returns a snapshot of all owners for use by other threads.
     #[must_use]
     pub fn owners(&self) -> Owners {
         let mut owners = Owners::default();
@@ -203,14 +203,14 @@
             let owner = Owner {
                 node: lease.holder.node.clone(),
                 epoch: lease.epoch,
-                own: self.own_span(shard),
+                local: self.local_period(shard),
             };
             owners.shards.insert(lease.shard, owner);
         }
         owners
     }
 
-    /// Returns the shards for which this node may act right now.
+    /// Returns the shards for which this node may act now.
     #[must_use]
     pub fn held(&self, now: Timestamp) -> Vec<ShardId> {
         let ids = (0..self.shards.len()).filter_map(|id| u16::try_from(id).ok());
@@ -219,19 +219,20 @@
             .collect()
     }
 
-    /// Does what is due at `now`, given what the node believes about the others.
+    /// Advances the state to `now` and returns the effects that are due, given the node's view of the
+    /// cluster.
     pub fn tick(&mut self, view: &View, now: Timestamp) -> Vec<Effect> {
-        if self.desired.is_empty() || *view != self.desired_for {
+        if self.desired.is_empty() || *view != self.desired_view {
             let shards = u16::try_from(self.shards.len()).expect("made from a u16");
             self.desired = desired_owners(shards, view);
-            self.desired_for = view.clone();
+            self.desired_view = view.clone();
         }
         let mut effects = Vec::new();
         let mut appends = 0;
         for index in 0..self.shards.len() {
-            self.count_gone_voters(index, view, now);
-            self.ask(index, now, &mut effects);
-            self.announce(index, now, &mut effects);
+            self.confirm_removed_voters(index, view, now);
+            self.request_votes(index, now, &mut effects);
+            self.emit_transition(index, now, &mut effects);
             if appends < self.settings.appends_per_tick
                 && let Some(append) = self.append_due(index, view, now)
             {
@@ -246,45 +247,47 @@
         self.shards.get_mut(usize::from(shard.0))
     }
 
-    fn own_span(&self, shard: &Shard) -> Option<OwnSpan> {
-        let Role::Claimant(own) = &shard.role else {
+    fn local_period(&self, shard: &Shard) -> Option<LeasePeriod> {
+        let Role::Claimant(claimant) = &shard.role else {
             return None;
         };
-        let from = own.acts_from?;
-        Some(OwnSpan {
+        let from = claimant.active_from?;
+        Some(LeasePeriod {
             from,
-            unchecked_from: from + self.settings.order_limit,
-            until: own.until,
+            unfenced_from: from + self.settings.max_request_time,
+            until: claimant.valid_until,
         })
     }
 
-    /// A voter whose VM is gone promises nothing any more.
+    /// Counts voters whose VM was removed as confirmations of a takeover, because they can't grant votes any
+    /// more.
     ///
-    /// Without this, a shard whose voters were mostly replaced while its holder was cut off from
-    /// the log would never get a holder again.
-    fn count_gone_voters(&mut self, index: usize, view: &View, now: Timestamp) {
-        let Role::Claimant(own) = &mut self.shards[index].role else {
+    /// Otherwise, a shard would never get a holder again if most of its voters were replaced while its holder
+    /// was disconnected from the log.
+    fn confirm_removed_voters(&mut self, index: usize, view: &View, now: Timestamp) {
+        let Role::Claimant(claimant) = &mut self.shards[index].role else {
             return;
         };
-        let Some(takeover) = &own.takeover else {
+        let Some(takeover) = &claimant.takeover else {
             return;
         };
-        if own.acts_from.is_some() {
+        if claimant.active_from.is_some() {
             return;
         }
         let gone = |voter: &&NodeId| view.state(voter) == Some(NodeState::Gone);
         let gone: Vec<NodeId> = takeover.voters.iter().filter(gone).cloned().collect();
         for voter in gone {
-            own.on_applied(&voter, &self.settings, now);
+            claimant.on_confirmation(&voter, &self.settings, now);
         }
     }
 
-    fn ask(&mut self, index: usize, now: Timestamp, effects: &mut Vec<Effect>) {
-        let questions = self.shards[index].questions(&self.settings, now);
-        let Some(vote) = questions.vote else {
+    /// Emits the vote requests that are due, and answers those to this node itself.
+    fn request_votes(&mut self, index: usize, now: Timestamp, effects: &mut Vec<Effect>) {
+        let requests = self.shards[index].due_vote_requests(&self.settings, now);
+        let Some(vote) = requests.vote else {
             return;
         };
-        for to in questions.to {
+        for to in requests.voters {
             if to != self.me.node {
                 effects.push(Effect::AskVote {
                     to,
@@ -302,32 +305,34 @@
         }
     }
 
-    /// Tells once when a lease begins to hold and once when it has lapsed.
-    fn announce(&mut self, index: usize, now: Timestamp, effects: &mut Vec<Effect>) {
+    /// Emits one effect when a lease becomes active and one when it has expired.
+    fn emit_transition(&mut self, index: usize, now: Timestamp, effects: &mut Vec<Effect>) {
         let shard = ShardId(u16::try_from(index).expect("made from a u16"));
-        let acting = self.may_act(shard, now).is_some();
-        let Role::Claimant(own) = &mut self.shards[index].role else {
+        let is_active = self.may_act(shard, now).is_some();
+        let Role::Claimant(claimant) = &mut self.shards[index].role else {
             return;
         };
-        let epoch = own.epoch;
-        if acting == own.announced {
+        let epoch = claimant.epoch;
+        if is_active == claimant.announced {
             return;
         }
-        own.announced = acting;
-        effects.push(if acting {
+        claimant.announced = is_active;
+        effects.push(if is_active {
             Effect::Acquired { shard, epoch }
         } else {
             Effect::Lost { shard, epoch }
         });
     }
 
-    /// Returns the record that this node should append for a shard now, if any.
+    /// Returns the append that is due for a shard, if any.
     fn append_due(&mut self, index: usize, view: &View, now: Timestamp) -> Option<Effect> {
-        if !self.log_is_up(now) {
+        if !self.is_log_available(now) {
             return None;
         }
         let shard = &self.shards[index];
-        let retry_at = shard.appended_at.map(|at| at + self.settings.append_retry);
+        let retry_at = shard
+            .last_append_at
+            .map(|at| at + self.settings.append_retry);
         if retry_at.is_some_and(|at| now < at) {
             return None;
         }
@@ -342,28 +347,29 @@
                 shard: id,
                 epoch: shard.epoch()?,
             }),
-            Role::Claimant(_) => return self.keep_or_release(index, view, now),
+            Role::Claimant(_) => return self.maintain_or_release(index, view, now),
         };
-        self.sent(index, effect, now)
+        self.record_append(index, effect, now)
     }
 
-    fn sent(&mut self, index: usize, effect: Effect, now: Timestamp) -> Option<Effect> {
+    /// Records an append and returns its effect.
+    fn record_append(&mut self, index: usize, effect: Effect, now: Timestamp) -> Option<Effect> {
         let shard = &mut self.shards[index];
-        shard.appended_at = Some(now);
+        shard.last_append_at = Some(now);
         if matches!(effect, Effect::AppendClaim(_)) {
-            shard.undecided += 1;
+            shard.pending_claims += 1;
         }
         Some(effect)
     }
 
-    /// Changes voters or begins a hand-over for a shard that this node acts for.
-    fn keep_or_release(&mut self, index: usize, view: &View, now: Timestamp) -> Option<Effect> {
+    /// Replaces the voters or starts the handover of a shard for which this node acts.
+    fn maintain_or_release(&mut self, index: usize, view: &View, now: Timestamp) -> Option<Effect> {
         let id = ShardId(u16::try_from(index).expect("made from a u16"));
         self.may_act(id, now)?;
         if self.pinned.contains(&id) {
             return None;
         }
-        if self.shards[index].undecided > 0 {
+        if self.shards[index].pending_claims > 0 {
             return self.retry_voter_change(index, view, now);
         }
         if self.should_release(index, view, now) {
@@ -372,35 +378,36 @@
         }
         let shard = &self.shards[index];
         let voters = &shard.lease.as_ref()?.voters;
-        let lost = voters.iter().any(|voter| !is_live(view, voter));
-        if !lost && voters.len() >= MAX_VOTERS {
+        let has_lost_voter = voters.iter().any(|voter| !is_live(view, voter));
+        if !has_lost_voter && voters.len() >= MAX_VOTERS {
             return None;
         }
         let chosen = choose_voters(id, view);
-        if (!lost && voters.len() >= chosen.len()) || chosen == *voters {
+        if (!has_lost_voter && voters.len() >= chosen.len()) || chosen == *voters {
             return None;
         }
         let effect = Effect::AppendClaim(self.draft(id, shard, view));
-        self.sent(index, effect, now)
+        self.record_append(index, effect, now)
     }
 
     fn retry_voter_change(&mut self, index: usize, view: &View, now: Timestamp) -> Option<Effect> {
         let id = ShardId(u16::try_from(index).expect("made from a u16"));
         let effect = Effect::AppendClaim(self.draft(id, &self.shards[index], view));
-        self.sent(index, effect, now)
+        self.record_append(index, effect, now)
     }
 
-    /// Drafts a claim on a shard.
+    /// Drafts a claim for a shard.
     ///
-    /// A claim that takes over keeps the voters of the lease before it. The old holder may still be
-    /// acting on their promises; were the voters replaced by a claimant that never came to act, the
-    /// next claimant would ask the new ones and act beside that holder.
+    /// A takeover keeps the voters of the previous lease, because the old holder may still act on their
+    /// votes. If a claimant replaced the voters and then failed before it acted, the next claimant would
+    /// request votes from the new voters only, and could act at the same time as the old holder.
     fn draft(&self, id: ShardId, shard: &Shard, view: &View) -> ClaimDraft {
-        let own = matches!(shard.role, Role::Claimant(_));
+        let is_claimant = matches!(shard.role, Role::Claimant(_));
         #[cfg(test)]
-        let own = own || self.settings.mutant == Some(crate::settings::Mutant::NewVoters);
+        let is_claimant =
+            is_claimant || self.settings.mutant == Some(crate::settings::Mutant::ReplacesVoters);
         let voters = match &shard.lease {
-            Some(lease) if !own && !lease.released => lease.voters.clone(),
+            Some(lease) if !is_claimant && !lease.released => lease.voters.clone(),
             _ => choose_voters(id, view),
         };
         ClaimDraft {
@@ -414,22 +421,22 @@
         if self.leaving || self.desired.get(&id) != Some(&self.me.node) {
             return false;
         }
-        if now < self.started + self.settings.start_hold {
+        if now < self.started + self.settings.startup_delay {
             return false;
         }
         let Some(lease) = &shard.lease else {
             return true;
         };
-        lease.released || self.holder_is_down(&lease.holder, view, now)
+        lease.released || self.is_holder_down(&lease.holder, view, now)
     }
 
-    fn holder_is_down(&self, holder: &Holder, view: &View, now: Timestamp) -> bool {
-        // A checkpoint can show a claim of this node whose wait it never began.
+    fn is_holder_down(&self, holder: &Holder, view: &View, now: Timestamp) -> bool {
+        // A checkpoint can contain a claim of this node for which it never started the takeover wait.
         if *holder == self.me {
             return true;
         }
         let Some(node) = view.nodes.get(&holder.node) else {
-            return now >= self.started + self.settings.unheard_hold;
+            return now >= self.started + self.settings.unknown_holder_delay;
         };
         if node.incarnation > holder.incarnation {
             return true;
@@ -442,22 +449,22 @@
             return true;
         }
         let id = ShardId(u16::try_from(index).expect("made from a u16"));
-        let better = self
+        let has_preferred_owner = self
             .desired
             .get(&id)
             .is_some_and(|node| *node != self.me.node && is_live(view, node));
         let shard = &mut self.shards[index];
-        if !better {
-            shard.better_owner_since = None;
+        if !has_preferred_owner {
+            shard.preferred_owner_since = None;
             return false;
         }
-        let since = *shard.better_owner_since.get_or_insert(now);
+        let since = *shard.preferred_owner_since.get_or_insert(now);
         now >= since + self.settings.handover_hold
     }
 
-    /// Returns whether the log was read lately, so that an append is likely to be taken.
-    fn log_is_up(&self, now: Timestamp) -> bool {
-        self.tail_seen
+    /// Returns whether the log was read recently, so that an append is likely to succeed.
+    fn is_log_available(&self, now: Timestamp) -> bool {
+        self.last_tail_read_at
             .is_some_and(|seen| now < seen + self.settings.length)
     }
 }
--- a/crates/sesamecart-lease/src/lib.rs
+++ b/crates/sesamecart-lease/src/lib.rs
@@ -1,14 +1,14 @@
 //! Shard leases renewed by reading the log, with voters for log outages.
 //!
-//! Whatever must have one owner hashes to a shard, and at most one node at a time may act for a
-//! shard. [`Leases`] is the state machine of one node over all shards: records, reads, votes and
-//! views go in, [`Effect`]s come out, and [`Leases::may_act`] is asked immediately before each
-//! effect. It reads no clock and no network. docs/design/leases.md gives the reasons, and
-//! spec/lease.pml the protocol as it is model-checked.
+//! Each resource that needs a single owner hashes to a shard, and at most one node at a time may act for a
+//! shard. [`Leases`] is one node's state machine for all shards. Its inputs are log records, log reads, votes
+//! and membership views, and its outputs are [`Effect`]s. Callers check [`Leases::may_act`] immediately
+//! before each action. The crate does no I/O and reads no clock. docs/design/leases.md explains the design,
+//! and spec/lease.pml is the model-checked specification of the protocol.
 
-mod balance;
 mod leases;
-mod owners;
+mod owner_snapshot;
+mod placement;
 mod record;
 mod settings;
 mod shard;
@@ -19,9 +19,9 @@
 #[cfg(test)]
 mod tests;
 
-pub use balance::desired_owners;
 pub use leases::Leases;
-pub use owners::{Owner, Owners};
+pub use owner_snapshot::{Owner, Owners};
+pub use placement::desired_owners;
 pub use record::{ClaimDraft, ClaimSeen, Effect, Holder, LeaseSeen, ReleaseSeen, Verdict};
 pub use settings::{LeaseSettings, LeaseSettingsError};
 pub use view::{NodeState, NodeView, View};
--- a/crates/sesamecart-lease/src/record.rs
+++ b/crates/sesamecart-lease/src/record.rs
@@ -1,4 +1,4 @@
-//! What the log says about leases, and what a node wants done about them.
+//! Lease records of the log, and the effects of the lease state machine.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
@@ -6,102 +6,103 @@
 
 use crate::vote::Vote;
 
-/// One life of a node, as a claim names it.
+/// The holder of a lease: one incarnation of a node.
 ///
-/// A node that restarts has forgotten which orders it sent, so its new life is another holder.
+/// A node that restarts doesn't know which requests it sent before, so its new incarnation is a different
+/// holder.
 #[derive(Clone, Debug, Display, Eq, PartialEq, Serialize, Deserialize)]
 #[display("{node}#{incarnation}")]
 pub struct Holder {
     /// The node.
     pub node: NodeId,
-    /// The life of its process.
+    /// The incarnation of its process.
     pub incarnation: Incarnation,
 }
 
-/// A claim record as it was read from the log.
+/// A claim record read from the log.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ClaimSeen {
-    /// The shard that is claimed.
+    /// The claimed shard.
     pub shard: ShardId,
     /// The record's offset, which becomes the epoch if the claim is accepted.
     pub epoch: Epoch,
-    /// Who claims.
+    /// The claimant.
     pub holder: Holder,
-    /// The epoch that the claimant knew, if any.
+    /// The epoch of the shard's last claim that the claimant knew of, if any.
     pub builds_on: Option<Epoch>,
-    /// The nodes that extend the lease while the log is out.
+    /// The nodes that extend the lease while the log is unavailable.
     pub voters: Vec<NodeId>,
 }
 
-/// A release record as it was read from the log.
+/// A release record read from the log.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct ReleaseSeen {
-    /// The shard that is released.
+    /// The released shard.
     pub shard: ShardId,
-    /// The epoch whose holder acts no more.
+    /// The epoch whose holder has stopped acting.
     pub epoch: Epoch,
 }
 
-/// The last accepted claim of a shard: the fold's state for it.
+/// The state of a shard's lease in the fold: its last accepted claim.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct LeaseSeen {
     /// The shard.
     pub shard: ShardId,
     /// The epoch.
     pub epoch: Epoch,
-    /// Who claimed.
+    /// The holder.
     pub holder: Holder,
-    /// The nodes that extend the lease while the log is out.
+    /// The nodes that extend the lease while the log is unavailable.
     pub voters: Vec<NodeId>,
-    /// Whether the holder has said that it acts no more.
+    /// Whether the holder has released the lease.
     pub released: bool,
 }
 
-/// Whether a claim record counts.
+/// Whether a claim record is accepted.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
 pub enum Verdict {
-    /// It is the shard's newest claim.
+    /// The claim is the shard's newest one.
     #[display("accepted")]
     Accepted,
-    /// It builds on an epoch that has passed, since another claim came first.
+    /// The claim is based on an outdated epoch because another claim came first.
     #[display("builds on a past epoch")]
-    Past,
+    Stale,
 }
 
-/// A claim that a node wants in the log; its own name and incarnation go with it.
+/// A claim to append to the log; the caller adds the node's name and incarnation.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ClaimDraft {
     /// The shard.
     pub shard: ShardId,
-    /// The epoch that the claim builds on, if any.
+    /// The epoch of the claim that this one succeeds, if any.
     pub builds_on: Option<Epoch>,
     /// The voters of the new lease.
     pub voters: Vec<NodeId>,
 }
 
-/// What a node does because of a lease event.
+/// An effect that the caller must carry out.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Effect {
-    /// Append this claim. Only a refusal that proves that nothing was appended is reported back
-    /// with [`crate::Leases::append_refused`].
+    /// Append this claim. The caller reports only a refusal that proves that nothing was appended, with
+    /// [`crate::Leases::append_refused`].
     AppendClaim(ClaimDraft),
     /// Append a release of this epoch.
     AppendRelease(ReleaseSeen),
-    /// Ask a voter.
+    /// Send a vote request.
     AskVote {
         /// The voter.
         to: NodeId,
-        /// The question.
+        /// The request.
         vote: Vote,
     },
-    /// This node holds the shard from now on.
+    /// This node may act for the shard from now on.
     Acquired {
         /// The shard.
         shard: ShardId,
         /// The epoch.
         epoch: Epoch,
     },
-    /// This node holds the shard no more.
+    /// This node may no longer act for the shard.
     Lost {
         /// The shard.
         shard: ShardId,
--- a/crates/sesamecart-lease/src/settings.rs
+++ b/crates/sesamecart-lease/src/settings.rs
@@ -1,73 +1,73 @@
-//! The lengths of time that leases depend on.
+//! The settings of the lease protocol.
 
 use std::time::Duration;
 
 use derive_more::{Display, Error};
 
-/// The most that two clocks' rates may differ for the default drift, in parts per thousand.
+/// The minimum allowance for the difference between two clocks' rates, in parts per thousand.
 ///
-/// Quartz clocks differ by some 0.1 per thousand; ten times that leaves room for a clock that is
-/// being slewed.
-const DRIFT_PER_THOUSAND: u32 = 1;
+/// Quartz clocks differ by about 0.1 per thousand; ten times that also covers a clock that is being slewed.
+const MIN_DRIFT_PER_THOUSAND: u32 = 1;
 
-/// The lengths of time that leases depend on.
+/// The durations and limits of the lease protocol.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct LeaseSettings {
-    /// How long a holder may act after it began a read that showed no other claim (L).
+    /// How long a holder may act after the start of a read that showed no other claim (L).
     pub length: Duration,
-    /// How much less a claimant's clock may measure than a holder's over one length.
+    /// The maximum difference between a claimant's and a holder's clock over one lease length.
     pub drift: Duration,
-    /// How old a tail read may be: it shows all appends acknowledged that long before it began.
+    /// The maximum staleness of a tail read: it returns all appends that were acknowledged at least this long
+    /// before it started.
     pub staleness: Duration,
-    /// How long an order may be under way, for endpoints that don't check epochs.
-    pub order_limit: Duration,
-    /// How long a claim or release may go unread before it is appended again.
+    /// The maximum time that a request may be in flight, for endpoints that don't check epochs.
+    pub max_request_time: Duration,
+    /// The time after which a claim or release that hasn't been read back is appended again.
     pub append_retry: Duration,
-    /// The time between two rounds of questions to voters.
+    /// The interval between rounds of vote requests.
     pub vote_interval: Duration,
-    /// How long a node watches after its start before it claims shards that nobody holds.
-    pub start_hold: Duration,
-    /// How long a node watches after its start before it takes over from a holder it never heard.
-    pub unheard_hold: Duration,
-    /// How long another node must be the better owner before a shard is handed over to it.
+    /// The delay after a node's start before it claims shards without a holder.
+    pub startup_delay: Duration,
+    /// The delay after a node's start before it takes over from a holder that isn't in its view.
+    pub unknown_holder_delay: Duration,
+    /// The time for which another node must be the preferred owner before a shard is handed over to it.
     pub handover_hold: Duration,
-    /// The most records that one tick asks to append, so that a lost rack can't spend the log's
-    /// whole rate at once.
+    /// The maximum number of records that one tick appends, so that the loss of a rack doesn't use up the
+    /// log's rate limit at once.
     pub appends_per_tick: usize,
-    /// A rule that tests leave out to see that they notice.
+    /// A rule that is omitted to show that the tests detect its absence.
     #[cfg(test)]
     pub(crate) mutant: Option<Mutant>,
 }
 
-/// A rule of the protocol that tests leave out.
+/// A rule of the protocol that tests can omit.
 #[cfg(test)]
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Mutant {
     /// A claimant acts without waiting.
     NoWait,
-    /// A claimant asks no voters.
+    /// A claimant doesn't wait for a majority of the voters.
     NoMajority,
-    /// A voter that restarted promises before it has read the log.
-    ForgetfulVoter,
-    /// A holder extends by its voters while its change of them is undecided.
-    OldVoters,
-    /// A claimant brings its own voters.
-    NewVoters,
+    /// A restarted voter grants votes before it has read the log.
+    VotesBeforeLogRead,
+    /// A holder extends its lease by the old voters while its claim to replace them is pending.
+    ExtendsByOldVoters,
+    /// A claimant replaces the voters of the lease that it takes over.
+    ReplacesVoters,
 }
 
-/// Why lease settings can't be used.
+/// An error in the lease settings.
 #[derive(Clone, Copy, Debug, Display, Eq, Error, PartialEq)]
 pub enum LeaseSettingsError {
-    /// The length is zero.
+    /// The lease length is zero.
     #[display("the lease length must not be zero")]
     Length,
-    /// The drift is below a thousandth of the length.
+    /// The drift is less than a thousandth of the lease length.
     #[display("the drift must be at least a thousandth of the lease length")]
     Drift,
-    /// Voters would be asked too seldom to extend a lease.
+    /// The vote interval is too long to extend a lease in time.
     #[display("the vote interval must be at most a quarter of the lease length")]
     VoteInterval,
-    /// Nothing could ever be appended.
+    /// No record could ever be appended.
     #[display("at least one append per tick must be allowed")]
     Appends,
 }
@@ -78,11 +78,11 @@
             length: Duration::from_secs(3),
             drift: Duration::from_millis(30),
             staleness: Duration::ZERO,
-            order_limit: Duration::from_secs(5),
+            max_request_time: Duration::from_secs(5),
             append_retry: Duration::from_secs(1),
             vote_interval: Duration::from_millis(700),
-            start_hold: Duration::from_secs(2),
-            unheard_hold: Duration::from_secs(15),
+            startup_delay: Duration::from_secs(2),
+            unknown_holder_delay: Duration::from_secs(15),
             handover_hold: Duration::from_secs(2),
             appends_per_tick: 8,
             #[cfg(test)]
@@ -92,25 +92,25 @@
 }
 
 impl LeaseSettings {
-    /// Returns whether a holder stops extending while its change of voters is undecided.
-    pub(crate) fn waits_for_verdict(&self) -> bool {
+    /// Returns whether a holder stops extending its lease by votes while its claim for new voters is pending.
+    pub(crate) fn waits_for_pending_claim(&self) -> bool {
         #[cfg(test)]
-        if self.mutant == Some(Mutant::OldVoters) {
+        if self.mutant == Some(Mutant::ExtendsByOldVoters) {
             return false;
         }
         true
     }
 
-    /// Checks that the lengths fit each other.
+    /// Validates the settings.
     ///
     /// # Errors
     ///
-    /// Returns the first rule that is broken.
+    /// Returns the first problem found.
     pub fn check(&self) -> Result<(), LeaseSettingsError> {
         if self.length.is_zero() {
             return Err(LeaseSettingsError::Length);
         }
-        if self.drift < self.length * DRIFT_PER_THOUSAND / 1000 {
+        if self.drift < self.length * MIN_DRIFT_PER_THOUSAND / 1000 {
             return Err(LeaseSettingsError::Drift);
         }
         if self.vote_interval > self.length / 4 {
@@ -122,11 +122,10 @@
         Ok(())
     }
 
-    /// Returns how long a claimant waits before it may act.
+    /// Returns how long a claimant must wait before it may act.
     ///
-    /// The old holder may act for one length after a read or promise that came just before the
-    /// claim took effect. Without the wait both would act, which one would notice as one key's
-    /// action run twice.
+    /// The old holder may act for one lease length after a read or vote just before the claim took effect.
+    /// Without the wait both nodes would act, and a keyed action could run twice.
     #[must_use]
     pub fn takeover_wait(&self) -> Duration {
         #[cfg(test)]
--- a/crates/sesamecart-lease/src/shard.rs
+++ b/crates/sesamecart-lease/src/shard.rs
@@ -1,4 +1,4 @@
-//! One shard's lease as one node sees it: what the log says, and this node's own part.
+//! One node's state of one shard's lease: the newest claim in the log and the node's own role.
 
 use indexmap::IndexMap;
 use sesamecart_vocabulary::{Epoch, NodeId, ShardId, Timestamp};
@@ -8,55 +8,56 @@
 use crate::vote::{Vote, VoteAnswer, VotePurpose};
 use crate::voters::majority;
 
-/// A shard's lease as one node sees it.
+/// One node's state of a shard's lease.
 #[derive(Debug)]
 pub(crate) struct Shard {
     id: ShardId,
     /// The last accepted claim.
     pub(crate) lease: Option<LeaseSeen>,
     pub(crate) role: Role,
-    /// When the last own claim or release was sent.
-    pub(crate) appended_at: Option<Timestamp>,
-    /// Own claims that may stand in the log and weren't read yet.
-    pub(crate) undecided: usize,
-    /// When another node first looked like the better owner.
-    pub(crate) better_owner_since: Option<Timestamp>,
+    /// When this node last sent a claim or release.
+    pub(crate) last_append_at: Option<Timestamp>,
+    /// The number of this node's claims that may be in the log but haven't been read yet.
+    pub(crate) pending_claims: usize,
+    /// Since when another node has been the preferred owner.
+    pub(crate) preferred_owner_since: Option<Timestamp>,
 }
 
-/// This node's part in a shard's lease.
+/// This node's role in a shard's lease.
 #[derive(Debug)]
 pub(crate) enum Role {
-    /// Another node's, or nobody's.
+    /// Another node holds the lease, or no node does.
     None,
-    /// This node's claim is the newest one.
+    /// This node has the newest claim.
     Claimant(Claimant),
-    /// This node acts no more and lets the log know.
+    /// This node has stopped acting and appends a release to the log.
     Releasing {
-        /// When it stopped.
+        /// When this node stopped acting.
         since: Timestamp,
     },
 }
 
-/// A lease that this node claimed and may come to act under.
+/// A lease that this node has claimed, whether or not it may act yet.
 #[derive(Debug)]
 pub(crate) struct Claimant {
     pub(crate) epoch: Epoch,
     pub(crate) takeover: Option<Takeover>,
-    /// From when it may act; unknown until the takeover has its majority.
-    pub(crate) acts_from: Option<Timestamp>,
-    /// Until when reads and promises let it act.
-    pub(crate) until: Timestamp,
-    /// For each voter, the time of the last question that it answered with a promise.
-    promises: IndexMap<NodeId, Timestamp>,
+    /// When the node may start to act; unknown until a majority has confirmed the takeover.
+    pub(crate) active_from: Option<Timestamp>,
+    /// The time up to which log reads and votes allow the node to act.
+    pub(crate) valid_until: Timestamp,
+    /// For each voter, the time of the last request that it granted.
+    grants: IndexMap<NodeId, Timestamp>,
     pub(crate) asked_at: Option<Timestamp>,
     pub(crate) announced: bool,
 }
 
-/// What a claimant still needs from the voters of the lease that it takes over.
+/// The state of a takeover, which needs confirmations from a majority of the old lease's voters.
 #[derive(Debug)]
 pub(crate) struct Takeover {
     pub(crate) voters: Vec<NodeId>,
-    pub(crate) applied: Vec<NodeId>,
+    /// The voters that have applied the claim, or whose VM was removed.
+    pub(crate) confirmed: Vec<NodeId>,
 }
 
 impl Shard {
@@ -65,9 +66,9 @@
             id,
             lease: None,
             role: Role::None,
-            appended_at: None,
-            undecided: 0,
-            better_owner_since: None,
+            last_append_at: None,
+            pending_claims: 0,
+            preferred_owner_since: None,
         }
     }
 
@@ -76,11 +77,11 @@
         self.lease.as_ref().map(|lease| lease.epoch)
     }
 
-    /// Takes a lease from a checkpoint or from the state of peers.
+    /// Installs a lease from a checkpoint or from a peer's state.
     pub(crate) fn install(&mut self, lease: LeaseSeen) {
         if Some(lease.epoch) > self.epoch() {
             self.role = Role::None;
-            self.undecided = 0;
+            self.pending_claims = 0;
             self.lease = Some(lease);
         } else if Some(lease.epoch) == self.epoch()
             && lease.released
@@ -94,12 +95,12 @@
     pub(crate) fn apply_claim(
         &mut self,
         claim: &ClaimSeen,
-        me: &Holder,
+        local: &Holder,
         settings: &LeaseSettings,
         now: Timestamp,
     ) -> Verdict {
         if claim.builds_on != self.epoch() || Some(claim.epoch) <= self.epoch() {
-            return Verdict::Past;
+            return Verdict::Stale;
         }
         let before = self.lease.replace(LeaseSeen {
             shard: claim.shard,
@@ -108,18 +109,18 @@
             voters: claim.voters.clone(),
             released: false,
         });
-        self.undecided = 0;
-        self.appended_at = None;
-        self.better_owner_since = None;
-        if claim.holder != *me {
+        self.pending_claims = 0;
+        self.last_append_at = None;
+        self.preferred_owner_since = None;
+        if claim.holder != *local {
             self.role = Role::None;
             return Verdict::Accepted;
         }
         self.role = match (std::mem::replace(&mut self.role, Role::None), before) {
-            (Role::Claimant(own), Some(before)) if own.epoch == before.epoch => {
-                Role::Claimant(own.with_new_voters(claim.epoch))
+            (Role::Claimant(claimant), Some(before)) if claimant.epoch == before.epoch => {
+                Role::Claimant(claimant.with_new_voters(claim.epoch))
             }
-            (_, before) => Role::Claimant(Claimant::after(claim.epoch, before, settings, now)),
+            (_, before) => Role::Claimant(Claimant::new(claim.epoch, before, settings, now)),
         };
         Verdict::Accepted
     }
@@ -134,196 +135,207 @@
         }
         lease.released = true;
         self.role = Role::None;
-        self.undecided = 0;
-        self.appended_at = None;
-        self.better_owner_since = None;
+        self.pending_claims = 0;
+        self.last_append_at = None;
+        self.preferred_owner_since = None;
     }
 
-    /// Renews the lease by a tail read that began at `begun` and showed no other claim.
+    /// Renews the lease after a tail read that started at `begun` and showed no other claim.
     pub(crate) fn renew_by_read(&mut self, begun: Timestamp, settings: &LeaseSettings) {
-        if let Role::Claimant(own) = &mut self.role {
-            own.until = own.until.max(begun + settings.length);
+        if let Role::Claimant(claimant) = &mut self.role {
+            claimant.valid_until = claimant.valid_until.max(begun + settings.length);
         }
     }
 
-    /// Answers a question to this node as a voter.
+    /// Returns whether this node, as a voter, grants a request.
     ///
-    /// `settled` says whether this life of the node has read the log's tail: one that restarted has
-    /// forgotten the claims it confirmed, and a promise out of that ignorance would let the old
-    /// holder act beside the new one.
-    pub(crate) fn answer(&self, vote: &Vote, asker: &NodeId, settled: bool) -> bool {
+    /// `has_read_tail` is whether this process has read the log's tail. A restarted voter doesn't know which
+    /// claims it has confirmed, and granting an extension without that knowledge would let the old holder act
+    /// at the same time as the new one.
+    pub(crate) fn answer(&self, vote: &Vote, requester: &NodeId, has_read_tail: bool) -> bool {
         let Some(lease) = &self.lease else {
             return false;
         };
         match vote.purpose {
             VotePurpose::Applied => lease.epoch >= vote.epoch,
             VotePurpose::Extend => {
-                settled
+                has_read_tail
                     && lease.epoch == vote.epoch
-                    && lease.holder.node == *asker
+                    && lease.holder.node == *requester
                     && !lease.released
             }
         }
     }
 
-    /// Takes a voter's answer.
+    /// Applies a voter's response.
     pub(crate) fn on_vote(
         &mut self,
         answer: &VoteAnswer,
         settings: &LeaseSettings,
         now: Timestamp,
     ) {
-        let Role::Claimant(own) = &mut self.role else {
+        let Role::Claimant(claimant) = &mut self.role else {
             return;
         };
-        if !answer.granted || answer.vote.epoch != own.epoch {
+        if !answer.granted || answer.vote.epoch != claimant.epoch {
             return;
         }
         match answer.vote.purpose {
-            VotePurpose::Applied => own.on_applied(&answer.voter, settings, now),
+            VotePurpose::Applied => claimant.on_confirmation(&answer.voter, settings, now),
             VotePurpose::Extend => {
                 let Some(lease) = &self.lease else {
                     return;
                 };
-                // A claimant that read this node's undecided voter change asks the new voters only,
-                // so promises of the old ones no longer keep anyone else from acting.
-                if self.undecided == 0 || !settings.waits_for_verdict() {
-                    own.on_promise(answer, &lease.voters, settings);
+                // A claimant that has read this node's pending claim for new voters sends requests to the new
+                // voters only, so votes of the old ones no longer prevent another node from acting.
+                if self.pending_claims == 0 || !settings.waits_for_pending_claim() {
+                    claimant.on_grant(answer, &lease.voters, settings);
                 }
             }
         }
     }
 
-    /// Returns the questions to ask now.
-    pub(crate) fn questions(&mut self, settings: &LeaseSettings, now: Timestamp) -> Questions {
-        let undecided = self.undecided > 0 && settings.waits_for_verdict();
-        let (Role::Claimant(own), Some(lease)) = (&mut self.role, &self.lease) else {
-            return Questions::default();
+    /// Returns the vote requests that are due.
+    pub(crate) fn due_vote_requests(
+        &mut self,
+        settings: &LeaseSettings,
+        now: Timestamp,
+    ) -> VoteRequests {
+        let has_pending_claim = self.pending_claims > 0 && settings.waits_for_pending_claim();
+        let (Role::Claimant(claimant), Some(lease)) = (&mut self.role, &self.lease) else {
+            return VoteRequests::default();
         };
-        if own
+        if claimant
             .asked_at
             .is_some_and(|at| now < at + settings.vote_interval)
         {
-            return Questions::default();
+            return VoteRequests::default();
         }
-        let purpose = if own.acts_from.is_none() {
+        let purpose = if claimant.active_from.is_none() {
             VotePurpose::Applied
-        } else if !undecided && own.until < now + settings.length / 2 {
+        } else if !has_pending_claim && claimant.valid_until < now + settings.length / 2 {
             VotePurpose::Extend
         } else {
-            return Questions::default();
+            return VoteRequests::default();
         };
-        let to = match (purpose, &own.takeover) {
-            (VotePurpose::Applied, Some(takeover)) => takeover.unasked(),
+        let voters = match (purpose, &claimant.takeover) {
+            (VotePurpose::Applied, Some(takeover)) => takeover.unconfirmed_voters(),
             (VotePurpose::Applied, None) => Vec::new(),
             (VotePurpose::Extend, _) => lease.voters.clone(),
         };
-        own.asked_at = Some(now);
+        claimant.asked_at = Some(now);
         let vote = Vote {
             shard: self.id,
-            epoch: own.epoch,
+            epoch: claimant.epoch,
             purpose,
             asked_at: now,
         };
-        Questions {
-            to,
+        VoteRequests {
+            voters,
             vote: Some(vote),
         }
     }
 }
 
-/// A question and whom to ask it.
+/// A vote request and the voters to send it to.
 #[derive(Debug, Default)]
-pub(crate) struct Questions {
-    pub(crate) to: Vec<NodeId>,
+pub(crate) struct VoteRequests {
+    pub(crate) voters: Vec<NodeId>,
     pub(crate) vote: Option<Vote>,
 }
 
 impl Claimant {
-    /// Begins a lease after whatever lease came before it.
-    fn after(
+    /// Starts a claim that succeeds the lease `before`, if any.
+    fn new(
         epoch: Epoch,
         before: Option<LeaseSeen>,
         settings: &LeaseSettings,
         now: Timestamp,
     ) -> Self {
-        let (takeover, acts_from) = match before {
+        let (takeover, active_from) = match before {
             #[cfg(test)]
             Some(_) if settings.mutant == Some(crate::settings::Mutant::NoMajority) => {
                 (None, Some(now + settings.takeover_wait()))
             }
-            // Its holder said that it acts no more.
+            // The holder has released the lease.
             Some(before) if before.released => (None, Some(now)),
             Some(before) => {
                 let takeover = Takeover {
                     voters: before.voters,
-                    applied: Vec::new(),
+                    confirmed: Vec::new(),
                 };
                 (Some(takeover), None)
             }
-            // Records of an earlier holder may have passed the log's retention unseen.
+            // The records of an earlier holder may have been removed by the log's retention before this node
+            // read them.
             None => (None, Some(now + settings.takeover_wait())),
         };
         Self {
             epoch,
             takeover,
-            acts_from,
-            until: Timestamp::ZERO,
-            promises: IndexMap::new(),
+            active_from,
+            valid_until: Timestamp::ZERO,
+            grants: IndexMap::new(),
             asked_at: None,
             announced: false,
         }
     }
 
-    /// Goes on under a new epoch after this node changed its own voters.
+    /// Continues under a new epoch after this node has replaced its own voters.
     fn with_new_voters(self, epoch: Epoch) -> Self {
         Self {
             epoch,
-            promises: IndexMap::new(),
+            grants: IndexMap::new(),
             asked_at: None,
             announced: false,
             ..self
         }
     }
 
-    /// Counts a voter of the old lease that promises nothing more to its holder.
-    pub(crate) fn on_applied(&mut self, voter: &NodeId, settings: &LeaseSettings, now: Timestamp) {
+    /// Counts a voter of the old lease that no longer grants requests of its holder.
+    pub(crate) fn on_confirmation(
+        &mut self,
+        voter: &NodeId,
+        settings: &LeaseSettings,
+        now: Timestamp,
+    ) {
         let Some(takeover) = &mut self.takeover else {
             return;
         };
-        if !takeover.voters.contains(voter) || takeover.applied.contains(voter) {
+        if !takeover.voters.contains(voter) || takeover.confirmed.contains(voter) {
             return;
         }
-        takeover.applied.push(voter.clone());
-        if takeover.applied.len() >= majority(takeover.voters.len()) && self.acts_from.is_none() {
-            self.acts_from = Some(now + settings.takeover_wait());
+        takeover.confirmed.push(voter.clone());
+        if takeover.confirmed.len() >= majority(takeover.voters.len()) && self.active_from.is_none()
+        {
+            self.active_from = Some(now + settings.takeover_wait());
         }
     }
 
-    /// Extends the lease to one length after the newest question that a majority has answered.
-    fn on_promise(&mut self, answer: &VoteAnswer, voters: &[NodeId], settings: &LeaseSettings) {
+    /// Extends the lease to one lease length after the newest request time that a majority has granted.
+    fn on_grant(&mut self, answer: &VoteAnswer, voters: &[NodeId], settings: &LeaseSettings) {
         if !voters.contains(&answer.voter) {
             return;
         }
         let latest = self
-            .promises
+            .grants
             .entry(answer.voter.clone())
             .or_insert(answer.vote.asked_at);
         *latest = (*latest).max(answer.vote.asked_at);
-        let mut asked: Vec<Timestamp> = self.promises.values().copied().collect();
-        asked.sort_unstable_by(|left, right| right.cmp(left));
-        if let Some(asked_at) = asked.get(majority(voters.len()) - 1) {
-            self.until = self.until.max(*asked_at + settings.length);
+        let mut request_times: Vec<Timestamp> = self.grants.values().copied().collect();
+        request_times.sort_unstable_by(|left, right| right.cmp(left));
+        if let Some(asked_at) = request_times.get(majority(voters.len()) - 1) {
+            self.valid_until = self.valid_until.max(*asked_at + settings.length);
         }
     }
 }
 
 impl Takeover {
-    fn unasked(&self) -> Vec<NodeId> {
-        let unasked = self
+    fn unconfirmed_voters(&self) -> Vec<NodeId> {
+        let unconfirmed = self
             .voters
             .iter()
-            .filter(|voter| !self.applied.contains(voter));
-        unasked.cloned().collect()
+            .filter(|voter| !self.confirmed.contains(voter));
+        unconfirmed.cloned().collect()
     }
 }
--- a/crates/sesamecart-lease/src/tests/choice.rs
+++ b/crates/sesamecart-lease/src/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Tests of the choice of owners and voters.
+//! Tests of the placement of owners and voters.
 
 use sesamecart_vocabulary::{Incarnation, NodeId, SHARDS, ShardId};
 
@@ -8,7 +8,7 @@
     format!("node-{index}").parse().unwrap()
 }
 
-fn view(count: usize) -> View {
+fn view_of(count: usize) -> View {
     let node = |index: usize| NodeView {
         failure_domain: format!("domain-{}", index % 3).parse().unwrap(),
         incarnation: Incarnation(1),
@@ -20,7 +20,7 @@
     }
 }
 
-fn moved(before: &View, after: &View) -> usize {
+fn moved_shards(before: &View, after: &View) -> usize {
     let (before, after) = (
         desired_owners(SHARDS, before),
         desired_owners(SHARDS, after),
@@ -40,7 +40,7 @@
             }
 
             #[test]
-            fn few_shards_move_when_a_node_goes() {
+            fn few_shards_move_when_node_leaves() {
                 super::few_shards_move($count);
             }
 
@@ -58,37 +58,40 @@
     target_nodes: 380;
 }
 
-/// Without a bound the fullest node would bear far more than its share of the actions.
+/// Without a bound, the most loaded node would own far more than its share of the shards and their actions.
 fn owners_are_balanced(count: usize) {
-    let owners = desired_owners(SHARDS, &view(count));
+    let owners = desired_owners(SHARDS, &view_of(count));
     assert_eq!(owners.len(), usize::from(SHARDS));
-    let bound = (usize::from(SHARDS) * 5).div_ceil(count * 4);
+    let max_shards = (usize::from(SHARDS) * 5).div_ceil(count * 4);
     for index in 0..count {
         let node = node_id(index);
         let held = owners.values().filter(|owner| **owner == node).count();
-        assert!(held <= bound, "{node} holds {held}, bound {bound}");
+        assert!(
+            held <= max_shards,
+            "{node} holds {held}, bound {max_shards}"
+        );
     }
 }
 
-/// A node is stopped for an upgrade. Each shard that moves is without an owner for a moment, so only
-/// the node's own shards and a few that the bound pushes out may move.
+/// A node is stopped for an upgrade. Each shard that moves has no owner for a short time, so only the node's
+/// own shards and a few that exceed another node's bound may move.
 fn few_shards_move(count: usize) {
-    let before = view(count);
+    let before = view_of(count);
     let mut after = before.clone();
     after.nodes.shift_remove(&node_id(0));
     let own = desired_owners(SHARDS, &before)
         .values()
         .filter(|owner| **owner == node_id(0))
         .count();
-    let moved = moved(&before, &after);
+    let moved = moved_shards(&before, &after);
     println!("{count} nodes: {moved} moved, {own} of them the node's own");
     assert!(moved <= own + usize::from(SHARDS) / 8);
 }
 
-/// A zone loses power during a log outage. Were a majority of a shard's voters in it, the shard's
-/// holder would stop although two zones are well.
+/// A zone loses power during a log outage. If it contained a majority of a shard's voters, the shard's holder
+/// would have to stop although two zones are healthy.
 fn voters_span_failure_domains(count: usize) {
-    let view = view(count);
+    let view = view_of(count);
     for shard in (0..SHARDS).map(ShardId) {
         let voters = choose_voters(shard, &view);
         assert!(voters.len() % 2 == 1 && voters.len() >= count.min(3));
--- a/crates/sesamecart-lease/src/tests/world.rs
+++ b/crates/sesamecart-lease/src/tests/simulation.rs
@@ -1,4 +1,4 @@
-//! Nodes, voters, links and a log in virtual time, driven by bytes.
+//! A simulation of nodes, voters, links and a log in virtual time, driven by input bytes.
 
 use std::time::Duration;
 
@@ -13,8 +13,8 @@
 pub(super) const NODES: usize = 4;
 const SHARD: ShardId = ShardId(0);
 
-/// A choice from which on an event concerns all nodes, so that runs get further.
-const MANY: u8 = 160;
+/// The minimum choice byte for which an event affects all nodes, so that runs make more progress.
+const ALL_NODES_CHOICE: u8 = 160;
 
 #[derive(Clone, Debug)]
 enum Record {
@@ -35,12 +35,12 @@
 
 #[derive(Clone, Debug)]
 enum Message {
-    Question {
+    Request {
         from: usize,
         to: usize,
         vote: Vote,
     },
-    Answer {
+    Response {
         to: usize,
         incarnation: Incarnation,
         answer: VoteAnswer,
@@ -52,31 +52,31 @@
     leases: Leases,
     view: View,
     incarnation: Incarnation,
-    /// The records that it applied.
+    /// The number of log records that the node has applied.
     applied: usize,
-    /// A read under way: when it began, and the log's end then.
+    /// The read in flight: its start time and the log's length at that time.
     read: Option<(Timestamp, usize)>,
-    /// Its clock runs this many millionths faster.
+    /// How much faster than true time the node's clock runs, in parts per million.
     drift_ppm: u64,
-    leaving: bool,
-    /// Whether it can't reach the log although the log is up.
-    cut_off: bool,
+    is_leaving: bool,
+    /// Whether the node can't reach the log although the log is available.
+    is_disconnected: bool,
 }
 
-/// Two nodes acted at once, or an older epoch after a newer one.
+/// A violated invariant: two nodes acted at once, or an older epoch acted after a newer one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Violation(pub(super) String);
 
-/// What a run has seen, to show that it isn't empty.
+/// Counters that show that a run exercised the protocol.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Seen {
+pub(super) struct Coverage {
     pub(super) events: u64,
     pub(super) acquired: u64,
     pub(super) changes_of_holder: u64,
     pub(super) acted_in_outage: u64,
 }
 
-impl Seen {
+impl Coverage {
     pub(super) fn counts(self) -> [u64; 4] {
         [
             self.events,
@@ -87,9 +87,9 @@
     }
 }
 
-/// Nodes, voters, links and a log.
+/// The simulated nodes, voters, links and log.
 #[derive(Debug)]
-pub(super) struct World {
+pub(super) struct Simulation {
     now: Timestamp,
     log: Vec<Record>,
     log_up: bool,
@@ -97,9 +97,9 @@
     appends: Vec<Append>,
     messages: Vec<Message>,
     settings: LeaseSettings,
-    /// The last holder that acted, its epoch, and when it last might have.
+    /// The last holder that acted, its epoch, and the last time at which it could have sent a request.
     last: Option<(usize, Incarnation, Epoch, Timestamp)>,
-    pub(super) seen: Seen,
+    pub(super) coverage: Coverage,
 }
 
 fn node_id(index: usize) -> NodeId {
@@ -123,15 +123,15 @@
     }
 }
 
-impl World {
+impl Simulation {
     pub(super) fn new(mutant: Option<Mutant>) -> Self {
         let settings = LeaseSettings {
-            start_hold: Duration::ZERO,
-            unheard_hold: Duration::ZERO,
+            startup_delay: Duration::ZERO,
+            unknown_holder_delay: Duration::ZERO,
             mutant,
             ..LeaseSettings::default()
         };
-        let mut world = Self {
+        let mut simulation = Self {
             now: Timestamp::from_millis(10_000),
             log: Vec::new(),
             log_up: true,
@@ -140,22 +140,22 @@
             messages: Vec::new(),
             settings,
             last: None,
-            seen: Seen::default(),
+            coverage: Coverage::default(),
         };
         for index in 0..NODES {
-            let node = world.fresh_node(index, Incarnation(1));
-            world.nodes.push(node);
+            let node = simulation.new_node(index, Incarnation(1));
+            simulation.nodes.push(node);
         }
-        world
+        simulation
     }
 
-    fn fresh_node(&self, index: usize, incarnation: Incarnation) -> Node {
+    fn new_node(&self, index: usize, incarnation: Incarnation) -> Node {
         let holder = Holder {
             node: node_id(index),
             incarnation,
         };
         let drift_ppm = 1_000 * index as u64;
-        let now = local(self.now, drift_ppm);
+        let now = local_time(self.now, drift_ppm);
         Node {
             leases: Leases::new(holder, 1, self.settings, now).unwrap(),
             view: all_live(),
@@ -163,35 +163,35 @@
             applied: 0,
             read: None,
             drift_ppm,
-            leaving: false,
-            cut_off: false,
+            is_leaving: false,
+            is_disconnected: false,
         }
     }
 
-    /// Does one event that two bytes choose, and checks the invariants.
+    /// Executes the event that is encoded by two bytes, and checks the invariants.
     pub(super) fn step(&mut self, kind: u8, choice: u8) -> Result<(), Violation> {
-        self.seen.events += 1;
+        self.coverage.events += 1;
         let node = usize::from(choice) % NODES;
         let other = usize::from(choice / 16) % NODES;
         match kind {
             0..=54 => self.now = self.now + Duration::from_millis(u64::from(choice) * 3 + 20),
-            55..=94 if choice >= MANY => (0..NODES).for_each(|node| self.read(node)),
+            55..=94 if choice >= ALL_NODES_CHOICE => (0..NODES).for_each(|node| self.read(node)),
             55..=94 => self.read(node),
-            95..=144 if choice >= MANY => (0..NODES).for_each(|node| self.tick(node)),
+            95..=144 if choice >= ALL_NODES_CHOICE => (0..NODES).for_each(|node| self.tick(node)),
             95..=144 => self.tick(node),
-            145..=174 => self.land(usize::from(choice)),
-            175..=223 if choice >= MANY => {
+            145..=174 => self.apply_append(usize::from(choice)),
+            175..=223 if choice >= ALL_NODES_CHOICE => {
                 (0..4 * NODES).for_each(|which| self.deliver(which));
             }
             175..=223 => self.deliver(usize::from(choice)),
-            224..=229 => self.lose(usize::from(choice)),
-            230..=235 if choice >= MANY => {
+            224..=229 => self.refuse_or_drop(usize::from(choice)),
+            230..=235 if choice >= ALL_NODES_CHOICE => {
                 (0..NODES).for_each(|by| self.toggle_suspicion(node, by));
             }
             230..=235 => self.toggle_suspicion(node, other),
             236..=237 => self.log_up = !self.log_up,
-            238..=239 => self.nodes[node].cut_off = !self.nodes[node].cut_off,
-            240..=244 => self.pass_on(node, other),
+            238..=239 => self.nodes[node].is_disconnected = !self.nodes[node].is_disconnected,
+            240..=244 => self.forward_records(node, other),
             245..=248 => self.begin_read(node),
             249..=252 => self.restart(node),
             _ => self.leave(node),
@@ -200,13 +200,13 @@
     }
 
     fn begin_read(&mut self, node: usize) {
-        if self.log_up && !self.nodes[node].cut_off {
-            let begun = local(self.now, self.nodes[node].drift_ppm);
+        if self.log_up && !self.nodes[node].is_disconnected {
+            let begun = local_time(self.now, self.nodes[node].drift_ppm);
             self.nodes[node].read = Some((begun, self.log.len()));
         }
     }
 
-    /// Finishes the read under way, or does a whole one.
+    /// Finishes the read in flight, or performs a complete one.
     fn read(&mut self, node: usize) {
         if self.nodes[node].read.is_none() {
             self.begin_read(node);
@@ -215,13 +215,13 @@
             return;
         };
         self.apply(node, end);
-        let now = local(self.now, self.nodes[node].drift_ppm);
+        let now = local_time(self.now, self.nodes[node].drift_ppm);
         self.nodes[node].leases.on_tail(begun, now);
     }
 
     fn apply(&mut self, node: usize, end: usize) {
         let from = self.nodes[node].applied;
-        let now = local(self.now, self.nodes[node].drift_ppm);
+        let now = local_time(self.now, self.nodes[node].drift_ppm);
         for offset in from..end {
             let leases = &mut self.nodes[node].leases;
             match &self.log[offset] {
@@ -247,7 +247,7 @@
 
     fn tick(&mut self, index: usize) {
         let node = &mut self.nodes[index];
-        let now = local(self.now, node.drift_ppm);
+        let now = local_time(self.now, node.drift_ppm);
         for effect in node.leases.tick(&node.view, now) {
             let record = match effect {
                 Effect::AppendClaim(draft) => Record::Claim {
@@ -261,7 +261,7 @@
                 Effect::AppendRelease(release) => Record::Release(release),
                 Effect::AskVote { to, vote } => {
                     let to = index_of(&to);
-                    self.messages.push(Message::Question {
+                    self.messages.push(Message::Request {
                         from: index,
                         to,
                         vote,
@@ -269,7 +269,7 @@
                     continue;
                 }
                 Effect::Acquired { .. } => {
-                    self.seen.acquired += 1;
+                    self.coverage.acquired += 1;
                     continue;
                 }
                 Effect::Lost { .. } => continue,
@@ -283,16 +283,16 @@
         }
     }
 
-    /// An append takes effect, maybe long after it was sent; its answer is lost.
-    fn land(&mut self, choice: usize) {
+    /// Applies an append to the log, possibly long after it was sent; its reply is lost.
+    fn apply_append(&mut self, choice: usize) {
         if self.log_up && !self.appends.is_empty() {
             let append = self.appends.swap_remove(choice % self.appends.len());
             self.log.push(append.record);
         }
     }
 
-    /// An append is refused, or a message gets lost.
-    fn lose(&mut self, choice: usize) {
+    /// Refuses an append or drops a message.
+    fn refuse_or_drop(&mut self, choice: usize) {
         if choice.is_multiple_of(2) && !self.appends.is_empty() {
             let append = self.appends.swap_remove(choice % self.appends.len());
             let node = &mut self.nodes[append.by];
@@ -310,7 +310,7 @@
             return;
         }
         match self.messages.swap_remove(choice % self.messages.len()) {
-            Message::Question { from, to, vote } => {
+            Message::Request { from, to, vote } => {
                 let granted = self.nodes[to].leases.answer(&vote, &node_id(from));
                 let voter = node_id(to);
                 let incarnation = self.nodes[from].incarnation;
@@ -319,19 +319,19 @@
                     vote,
                     granted,
                 };
-                self.messages.push(Message::Answer {
+                self.messages.push(Message::Response {
                     to: from,
                     incarnation,
                     answer,
                 });
             }
-            Message::Answer {
+            Message::Response {
                 to,
                 incarnation,
                 answer,
             } => {
                 let node = &mut self.nodes[to];
-                let now = local(self.now, node.drift_ppm);
+                let now = local_time(self.now, node.drift_ppm);
                 if node.incarnation == incarnation {
                     node.leases.on_vote(&answer, now);
                 }
@@ -350,15 +350,15 @@
         };
     }
 
-    /// A node that is cut off from the log gets what another has read.
-    fn pass_on(&mut self, to: usize, from: usize) {
+    /// Forwards the records that one node has read to another.
+    fn forward_records(&mut self, to: usize, from: usize) {
         let end = self.nodes[from].applied;
         self.apply(to, end);
     }
 
     fn restart(&mut self, index: usize) {
         let incarnation = self.nodes[index].incarnation.next();
-        let node = self.fresh_node(index, incarnation);
+        let node = self.new_node(index, incarnation);
         self.nodes[index] = node;
         for node in &mut self.nodes {
             node.view.nodes[index].incarnation = incarnation;
@@ -367,8 +367,8 @@
 
     fn leave(&mut self, index: usize) {
         let node = &mut self.nodes[index];
-        if !node.leaving {
-            node.leaving = true;
+        if !node.is_leaving {
+            node.is_leaving = true;
             node.leases.leave();
         }
     }
@@ -377,7 +377,7 @@
         let mut acting = None;
         for index in 0..NODES {
             let node = &self.nodes[index];
-            let now = local(self.now, node.drift_ppm);
+            let now = local_time(self.now, node.drift_ppm);
             let Some(epoch) = node.leases.may_act(SHARD, now) else {
                 continue;
             };
@@ -385,46 +385,48 @@
                 let text = format!("nodes {other} and {index} act under {other_epoch} and {epoch}");
                 return Err(Violation(text));
             }
-            self.check_order(index, epoch, now)?;
+            self.check_epoch(index, epoch, now)?;
         }
         Ok(())
     }
 
-    /// Checks that epochs only rise, and that endpoints which check none are safe too.
-    fn check_order(&mut self, index: usize, epoch: Epoch, now: Timestamp) -> Result<(), Violation> {
+    /// Checks that epochs never decrease, and that endpoints that don't check epochs are safe as well.
+    fn check_epoch(&mut self, index: usize, epoch: Epoch, now: Timestamp) -> Result<(), Violation> {
         let incarnation = self.nodes[index].incarnation;
-        if let Some((holder, life, last, acted_at)) = self.last {
-            if epoch < last {
-                return Err(Violation(format!("epoch {epoch} acts after {last}")));
+        if let Some((holder, last_incarnation, last_epoch, acted_at)) = self.last {
+            if epoch < last_epoch {
+                return Err(Violation(format!("epoch {epoch} acts after {last_epoch}")));
             }
-            if (holder, life) != (index, incarnation) {
-                self.seen.changes_of_holder += 1;
+            if (holder, last_incarnation) != (index, incarnation) {
+                self.coverage.changes_of_holder += 1;
                 let owners = self.nodes[index].leases.owners();
-                let slack = self.settings.drift;
-                let in_flight = self.now + slack < acted_at + self.settings.order_limit;
-                if in_flight && owners.may_order_unchecked(SHARD, now).is_some() {
-                    return Err(Violation(format!("{index} orders while {holder}'s fly")));
+                let drift = self.settings.drift;
+                let may_be_in_flight = self.now + drift < acted_at + self.settings.max_request_time;
+                if may_be_in_flight && owners.may_act_unfenced(SHARD, now).is_some() {
+                    return Err(Violation(format!(
+                        "{index} sends unfenced requests while those of {holder} may be in flight"
+                    )));
                 }
             }
         }
-        let first_order = self.nodes[index]
+        let unfenced_epoch = self.nodes[index]
             .leases
             .owners()
-            .may_order_unchecked(SHARD, now);
-        let same = self
+            .may_act_unfenced(SHARD, now);
+        let is_same_holder = self
             .last
-            .is_some_and(|(holder, life, ..)| (holder, life) == (index, incarnation));
-        if same || first_order.is_some() || self.last.is_none() {
+            .is_some_and(|(holder, last, ..)| (holder, last) == (index, incarnation));
+        if is_same_holder || unfenced_epoch.is_some() || self.last.is_none() {
             self.last = Some((index, incarnation, epoch, self.now));
         }
         if !self.log_up {
-            self.seen.acted_in_outage += 1;
+            self.coverage.acted_in_outage += 1;
         }
         Ok(())
     }
 }
 
-/// Returns what a node's clock shows; it runs faster than the true time.
-fn local(now: Timestamp, drift_ppm: u64) -> Timestamp {
+/// Returns the time on a node's clock, which runs faster than true time.
+fn local_time(now: Timestamp, drift_ppm: u64) -> Timestamp {
     Timestamp(now.0 + now.0 / 1_000_000 * drift_ppm + now.0 % 1_000_000 * drift_ppm / 1_000_000)
 }
--- a/crates/sesamecart-lease/src/view.rs
+++ b/crates/sesamecart-lease/src/view.rs
@@ -1,37 +1,37 @@
-//! What a node believes about the others when it decides which shards to claim.
+//! One node's view of the cluster, by which it decides which shards to claim.
 
 use indexmap::IndexMap;
 use sesamecart_vocabulary::{FailureDomainId, Incarnation, NodeId};
 
-/// What membership says about a node.
+/// The state of a node according to membership.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum NodeState {
-    /// It answers.
+    /// The node responds.
     Live,
-    /// It answers and is about to go.
+    /// The node responds and is shutting down.
     Leaving,
-    /// It hasn't answered for long enough that its shards may be claimed.
+    /// The node hasn't responded for so long that its shards may be claimed.
     Suspected,
-    /// The platform removed its VM longer ago than the list lags, so that it can't promise
-    /// anything any more.
+    /// The platform removed the node's VM longer ago than the lag of the VM list, so the node can't grant
+    /// votes any more.
     Gone,
 }
 
-/// One node as another one sees it.
+/// One node as seen by another.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct NodeView {
-    /// Its failure domain.
+    /// The node's failure domain.
     pub failure_domain: FailureDomainId,
-    /// The life of its process that was last heard.
+    /// The latest known incarnation of its process.
     pub incarnation: Incarnation,
-    /// What is believed of it.
+    /// Its state.
     pub state: NodeState,
 }
 
-/// The nodes as one of them sees them, itself included.
+/// One node's view of all nodes, including itself.
 ///
-/// A wrong view only costs time. A claim made too early displaces a holder that was well, and both
-/// follow the same rules.
+/// A wrong view reduces availability only: a premature claim replaces a healthy holder, and both nodes follow
+/// the takeover protocol.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct View {
     /// The nodes.
@@ -46,7 +46,7 @@
             .filter(|(_, view)| view.state == NodeState::Live)
     }
 
-    /// Returns what is believed of a node, if it was ever heard of.
+    /// Returns the state of a node, or `None` if the node is unknown.
     #[must_use]
     pub fn state(&self, node: &NodeId) -> Option<NodeState> {
         self.nodes.get(node).map(|view| view.state)
--- a/crates/sesamecart-lease/src/vote.rs
+++ b/crates/sesamecart-lease/src/vote.rs
@@ -1,37 +1,37 @@
-//! Questions to voters and their answers.
+//! Vote requests and responses.
 
 use sesamecart_vocabulary::{Epoch, NodeId, ShardId, Timestamp};
 
-/// What is asked of a voter.
+/// The purpose of a vote request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Hash)]
 pub enum VotePurpose {
-    /// Promise that the holder of this epoch may act for one lease length from the asking.
+    /// Promise that the holder of this epoch may act for one lease length from the time of the request.
     Extend,
-    /// Confirm that this epoch's claim was applied, after which nothing is promised to older ones.
+    /// Confirm that this epoch's claim was applied, after which the voter promises nothing to older epochs.
     Applied,
 }
 
-/// A question to a voter.
+/// A request to a voter.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Vote {
     /// The shard.
     pub shard: ShardId,
-    /// The asker's epoch.
+    /// The requesting node's epoch.
     pub epoch: Epoch,
-    /// What is asked.
+    /// The purpose of the request.
     pub purpose: VotePurpose,
-    /// The asker's local time; the answer carries it back, so that a late answer extends only from
-    /// the time of its question.
+    /// The requesting node's local time, which the response returns unchanged, so that a late response
+    /// extends the lease only from the time of the request.
     pub asked_at: Timestamp,
 }
 
-/// A voter's answer.
+/// A voter's response.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct VoteAnswer {
-    /// Who answers.
+    /// The voter that responded.
     pub voter: NodeId,
-    /// The question.
+    /// The request.
     pub vote: Vote,
-    /// Whether the voter agrees.
+    /// Whether the voter granted the request.
     pub granted: bool,
 }
--- a/crates/sesamecart-lease/src/voters.rs
+++ b/crates/sesamecart-lease/src/voters.rs
@@ -1,22 +1,22 @@
-//! Which nodes extend a shard's lease while the log is out.
+//! The choice of the nodes that extend a shard's lease while the log is unavailable.
 
 use indexmap::IndexMap;
 use sesamecart_vocabulary::{FailureDomainId, NodeId, ShardId, rendezvous_weight};
 
 use crate::view::View;
 
-/// The most voters of a shard.
+/// The maximum number of voters of a shard.
 ///
-/// With five, two may be lost without a pause, and one failure domain of three holds at most two
-/// of them. More would cost every holder more questions in an outage and gain little, since a
-/// holder replaces a lost voter as long as the log is up.
+/// With five voters, two may fail without an interruption, and one of three failure domains has at most two
+/// of them. More voters would cost every holder more requests during an outage for little benefit, because a
+/// holder replaces a lost voter while the log is available.
 pub(crate) const MAX_VOTERS: usize = 5;
 
-/// Chooses a shard's voters: the highest rendezvous weights, spread over the failure domains.
+/// Chooses a shard's voters by the highest rendezvous weights, spread over the failure domains.
 ///
-/// Taking the highest weights alone could put a majority into one domain, whose loss during an
-/// outage would end the shard's lease. The number is odd, as an even one needs a larger majority
-/// without bearing more losses.
+/// The highest weights alone could put a majority into one failure domain, whose loss during a log outage
+/// would end the shard's lease. The number of voters is odd, because an even number needs a larger majority
+/// without tolerating more failures.
 #[must_use]
 pub fn choose_voters(shard: ShardId, view: &View) -> Vec<NodeId> {
     let mut domains: IndexMap<&FailureDomainId, Vec<(u64, &NodeId)>> = IndexMap::new();
@@ -31,11 +31,11 @@
     }
     domains.sort_by(|_, left, _, right| right.last().cmp(&left.last()));
     let live: usize = domains.values().map(Vec::len).sum();
-    let wanted = odd_at_most(live.min(MAX_VOTERS));
-    let mut voters = Vec::with_capacity(wanted);
-    while voters.len() < wanted {
+    let voter_count = round_down_to_odd(live.min(MAX_VOTERS));
+    let mut voters = Vec::with_capacity(voter_count);
+    while voters.len() < voter_count {
         for nodes in domains.values_mut() {
-            if voters.len() < wanted
+            if voters.len() < voter_count
                 && let Some((_, node)) = nodes.pop()
             {
                 voters.push(node.clone());
@@ -45,12 +45,13 @@
     voters
 }
 
-/// Returns how many of `voters` are a majority.
+/// Returns the size of a majority of `voters`.
 pub(crate) const fn majority(voters: usize) -> usize {
     voters / 2 + 1
 }
 
-const fn odd_at_most(count: usize) -> usize {
+/// Returns the greatest odd number that is at most `count`, or 0.
+const fn round_down_to_odd(count: usize) -> usize {
     if count == 0 {
         0
     } else {
