--- a/crates/sesamecart-actions/src/commit.rs
+++ b/crates/sesamecart-actions/src/commit.rs
@@ -142,7 +142,7 @@
     /// The fold has accepted the intent: its attempt may be sent.
     Stands,
     /// Another attempt for the same key came first.
-    Another,
+    Conflict,
     /// The fold ignored the intent because its epoch had passed, or the intent isn't in the log.
     Absent,
 }
@@ -155,7 +155,7 @@
 pub fn verdict_of(actions: &Actions, intent: &ActionIntent) -> IntentVerdict {
     match actions.get(&intent.action_key()) {
         Some(entry) if entry.attempt == intent.attempt => IntentVerdict::Stands,
-        Some(_) => IntentVerdict::Another,
+        Some(_) => IntentVerdict::Conflict,
         None => IntentVerdict::Absent,
     }
 }
--- a/crates/sesamecart-actions/src/intent_recovery.rs
+++ b/crates/sesamecart-actions/src/intent_recovery.rs
@@ -84,7 +84,7 @@
 
     /// Returns the intents received so far.
     #[must_use]
-    pub fn so_far(&self) -> Vec<ActionIntent> {
+    pub fn received_intents(&self) -> Vec<ActionIntent> {
         self.intents.values().cloned().collect()
     }
 
--- a/crates/sesamecart-actions/src/owner.rs
+++ b/crates/sesamecart-actions/src/owner.rs
@@ -24,7 +24,7 @@
     /// The maximum number of calls that wait for one key's response; further calls are told to retry.
     pub max_waiters: usize,
     /// The time after a request's deadline during which its outcome may still be reported.
-    pub grace: Duration,
+    pub outcome_grace_period: Duration,
     /// The delay after which a refused or rejected call should be retried.
     pub retry_after: Duration,
     /// How long keys are retained, in milliseconds of the log's clock.
@@ -36,7 +36,7 @@
         Self {
             max_entries: 16_384,
             max_waiters: 64,
-            grace: Duration::from_secs(2),
+            outcome_grace_period: Duration::from_secs(2),
             retry_after: Duration::from_millis(250),
             horizon_ms: sesamecart_fold::ACTION_HORIZON_MS,
         }
@@ -46,7 +46,7 @@
 /// The inputs to one decision of an owner.
 #[derive(Clone, Copy, Debug)]
 pub struct KnownActions<'a> {
-    /// The current time on this process's monotonic clock.
+    /// The current time on this process's clock.
     pub now: Timestamp,
     /// The wall-clock time in milliseconds.
     pub wall_ms: u64,
@@ -135,7 +135,7 @@
         self.shard
     }
 
-    /// Returns the number of keys that the owner holds in memory.
+    /// Returns the number of keys that the owner holds in memory, in addition to those in the log.
     #[must_use]
     pub fn len(&self) -> usize {
         self.entries.len()
@@ -167,7 +167,7 @@
     /// because an action could otherwise run twice.
     pub fn adopt(
         &mut self,
-        known: KnownActions<'_>,
+        cx: KnownActions<'_>,
         intents: Vec<ActionIntent>,
         is_complete: bool,
         out: &mut Vec<Effect>,
@@ -175,12 +175,12 @@
         self.readiness = if is_complete {
             Readiness::Ready
         } else {
-            let until = known.now + Duration::from_millis(self.config.horizon_ms);
+            let until = cx.now + Duration::from_millis(self.config.horizon_ms);
             Readiness::Uncertain { until }
         };
         for intent in intents {
             let key = intent.action_key();
-            if known.actions.get(&key).is_some() {
+            if cx.actions.get(&key).is_some() {
                 continue;
             }
             let entry = Entry {
@@ -192,7 +192,7 @@
                 },
                 waiters: Vec::new(),
                 recorders: Vec::new(),
-                updated_at: known.now,
+                updated_at: cx.now,
             };
             self.entries.insert(key, entry);
             self.commit_intent(intent, out);
@@ -202,12 +202,12 @@
     /// Decides on a node's request to send an action.
     pub fn begin(
         &mut self,
-        known: KnownActions<'_>,
+        cx: KnownActions<'_>,
         ticket: Ticket,
-        asking: Asking,
+        req: Asking,
         out: &mut Vec<Effect>,
     ) {
-        let decision = match key_time(&asking.key.key, known.wall_ms, self.config.horizon_ms) {
+        let decision = match key_time(&req.key.key, cx.wall_ms, self.config.horizon_ms) {
             KeyTime::Expired => Some(Decision::Expired),
             KeyTime::Future => Some(self.refuse(RefusalReason::FutureKey)),
             KeyTime::NoTimestamp | KeyTime::Fresh => None,
@@ -216,27 +216,27 @@
             out.push(Effect::Reply(ticket, decision));
             return;
         }
-        if self.entries.contains_key(&asking.key) {
-            self.decide_local(known, ticket, asking, out);
+        if self.entries.contains_key(&req.key) {
+            self.decide_local(cx, ticket, req, out);
             return;
         }
-        match known.actions.get(&asking.key) {
+        match cx.actions.get(&req.key) {
             Some(entry) if !allows_new_attempt(entry) => {
-                let decision = self.decide_logged(entry, &asking);
+                let decision = self.decide_logged(entry, &req);
                 out.push(Effect::Reply(ticket, decision));
             }
-            Some(entry) if entry.attempt == asking.attempt => {
+            Some(entry) if entry.attempt == req.attempt => {
                 let decision = self.refuse(RefusalReason::AttemptEnded);
                 out.push(Effect::Reply(ticket, decision));
             }
-            _ => self.begin_new(known, ticket, asking, out),
+            _ => self.begin_new(cx, ticket, req, out),
         }
     }
 
     /// Records the outcome of an attempt.
     pub fn finish(
         &mut self,
-        known: KnownActions<'_>,
+        cx: KnownActions<'_>,
         ticket: Ticket,
         key: &ActionKey,
         attempt: &AttemptId,
@@ -244,7 +244,7 @@
         out: &mut Vec<Effect>,
     ) {
         let local = self.entries.get(key).map(|entry| &entry.attempt);
-        let logged = known.actions.get(key).map(|entry| &entry.attempt);
+        let logged = cx.actions.get(key).map(|entry| &entry.attempt);
         match local.or(logged) {
             Some(known_attempt) if known_attempt == attempt => {}
             // Another attempt is current, so this one was never granted or is superseded.
@@ -259,15 +259,15 @@
                 return;
             }
         }
-        if let Some(entry) = known.actions.get(key)
+        if let Some(entry) = cx.actions.get(key)
             && entry.attempt == *attempt
             && !matches!(entry.end, None | Some(ActionEnd::Unknown))
         {
             out.push(Effect::Recorded(ticket, true));
             return;
         }
-        let entry = self.entry_for_outcome(known, key, attempt);
-        let (is_new, waiters) = entry.set_outcome(end, known.now);
+        let entry = self.entry_for_outcome(cx, key, attempt);
+        let (is_new, waiters) = entry.set_outcome(end, cx.now);
         if !is_new && entry.is_logged() {
             out.push(Effect::Recorded(ticket, true));
             return;
@@ -277,32 +277,32 @@
             self.commit_outcome(key, out);
         }
         for waiter in waiters {
-            self.begin(known, waiter.ticket, waiter.asking, out);
+            self.begin(cx, waiter.ticket, waiter.req, out);
         }
     }
 
     /// Ends attempts whose deadline has passed, and removes entries that the log has.
-    pub fn tick(&mut self, known: KnownActions<'_>, out: &mut Vec<Effect>) {
+    pub fn tick(&mut self, cx: KnownActions<'_>, out: &mut Vec<Effect>) {
         let horizon = Duration::from_millis(self.config.horizon_ms);
         let mut timed_out = Vec::new();
         self.entries.retain(|key, entry| match &entry.phase {
             Phase::Committing { .. } => true,
             Phase::Granted { until } => {
-                if known.now >= *until {
+                if cx.now >= *until {
                     timed_out.push(key.clone());
                 }
                 true
             }
             Phase::Ended { end, logged } => {
-                let in_log = known.actions.get(key).is_some() || *end == ActionEnd::NotRun;
-                !(*logged && in_log) && known.now < entry.updated_at + horizon
+                let in_log = cx.actions.get(key).is_some() || *end == ActionEnd::NotRun;
+                !(*logged && in_log) && cx.now < entry.updated_at + horizon
             }
         });
         for key in timed_out {
-            self.time_out(known, &key, out);
+            self.time_out(cx, &key, out);
         }
         if let Readiness::Uncertain { until } = self.readiness
-            && known.now >= until
+            && cx.now >= until
         {
             self.readiness = Readiness::Ready;
         }
@@ -327,11 +327,11 @@
     ///
     /// The node that was granted the attempt may have crashed before or after sending it, so the outcome is
     /// unknown. Waiting calls are notified at once.
-    fn time_out(&mut self, known: KnownActions<'_>, key: &ActionKey, out: &mut Vec<Effect>) {
+    fn time_out(&mut self, cx: KnownActions<'_>, key: &ActionKey, out: &mut Vec<Effect>) {
         let Some(entry) = self.entries.get_mut(key) else {
             return;
         };
-        let (_, waiters) = entry.set_outcome(ActionEnd::Unknown, known.now);
+        let (_, waiters) = entry.set_outcome(ActionEnd::Unknown, cx.now);
         // An intent without an outcome in the log already means "unknown".
         entry.mark_logged();
         let attempt = entry.attempt.clone();
@@ -344,17 +344,15 @@
     /// Begins an action whose key is unknown, or refuses it.
     fn begin_new(
         &mut self,
-        known: KnownActions<'_>,
+        cx: KnownActions<'_>,
         ticket: Ticket,
-        asking: Asking,
+        req: Asking,
         out: &mut Vec<Effect>,
     ) {
         let refusal = match self.readiness {
             Readiness::Recovering => Some(RefusalReason::TakingOver),
             Readiness::Uncertain { .. } => Some(RefusalReason::Uncertain),
-            Readiness::Ready
-                if !known.has_room || self.entries.len() >= self.config.max_entries =>
-            {
+            Readiness::Ready if !cx.has_room || self.entries.len() >= self.config.max_entries => {
                 Some(RefusalReason::Full)
             }
             Readiness::Ready => None,
@@ -364,42 +362,43 @@
             return;
         }
         let intent = ActionIntent {
-            customer: asking.key.customer.clone(),
-            service: asking.key.service.clone(),
-            key: asking.key.key.clone(),
-            body_digest: asking.body_digest,
-            attempt: asking.attempt.clone(),
-            at_ms: known.wall_ms,
+            customer: req.key.customer.clone(),
+            service: req.key.service.clone(),
+            key: req.key.key.clone(),
+            body_digest: req.body_digest,
+            attempt: req.attempt.clone(),
+            at_ms: cx.wall_ms,
         };
         let entry = Entry {
-            body_digest: asking.body_digest,
-            attempt: asking.attempt,
+            body_digest: req.body_digest,
+            attempt: req.attempt,
             phase: Phase::Committing {
                 ticket,
-                until: asking.until + self.config.grace,
+                until: req.until + self.config.outcome_grace_period,
             },
             waiters: Vec::new(),
             recorders: Vec::new(),
-            updated_at: known.now,
+            updated_at: cx.now,
         };
-        self.entries.insert(asking.key, entry);
+        self.entries.insert(req.key, entry);
         self.commit_intent(intent, out);
     }
 
-    /// Decides on a key that the owner holds in memory.
+    /// Decides on a key that the owner holds in memory, because its attempt is in flight here or the log may not
+    /// have its outcome yet.
     fn decide_local(
         &mut self,
-        known: KnownActions<'_>,
+        cx: KnownActions<'_>,
         ticket: Ticket,
-        asking: Asking,
+        req: Asking,
         out: &mut Vec<Effect>,
     ) {
         let epoch = self.epoch;
         let max_waiters = self.config.max_waiters;
         let retry_after = self.config.retry_after;
         let reason = RefusalReason::AttemptEnded;
-        let entry = &mut self.entries[&asking.key];
-        let is_same_attempt = entry.attempt == asking.attempt;
+        let entry = &mut self.entries[&req.key];
+        let is_same_attempt = entry.attempt == req.attempt;
         let decision = match &mut entry.phase {
             // A key whose last attempt wasn't run may be reused with a different body.
             Phase::Ended {
@@ -412,8 +411,8 @@
             Phase::Ended {
                 end: ActionEnd::NotRun,
                 ..
-            } => return self.begin_retry(known, ticket, asking, out),
-            _ if !entry.body_digest.matches(&asking.body_digest) => Decision::Mismatch,
+            } => return self.begin_retry(cx, ticket, req, out),
+            _ if !entry.body_digest.matches(&req.body_digest) => Decision::Mismatch,
             Phase::Ended { end, .. } => decide_ended(end, &entry.attempt),
             // The reply was lost, and the node repeats its call for an attempt that it hasn't sent.
             Phase::Granted { .. } if is_same_attempt => Decision::Send { epoch },
@@ -424,7 +423,7 @@
                 return;
             }
             Phase::Granted { .. } | Phase::Committing { .. } => {
-                if entry.add_waiter(Waiter { ticket, asking }, max_waiters) {
+                if entry.add_waiter(Waiter { ticket, req }, max_waiters) {
                     return;
                 }
                 Decision::Running { retry_after }
@@ -439,15 +438,15 @@
     /// the fold would then reject the new intent.
     fn begin_retry(
         &mut self,
-        known: KnownActions<'_>,
+        cx: KnownActions<'_>,
         ticket: Ticket,
-        asking: Asking,
+        req: Asking,
         out: &mut Vec<Effect>,
     ) {
-        let key = asking.key.clone();
+        let key = req.key.clone();
         let last = self.entries.shift_remove(&key);
         let mut effects = Vec::new();
-        self.begin_new(known, ticket, asking, &mut effects);
+        self.begin_new(cx, ticket, req, &mut effects);
         let Some(mut last) = last else {
             out.append(&mut effects);
             return;
@@ -462,13 +461,13 @@
         out.append(&mut effects);
     }
 
-    fn decide_logged(&self, entry: &ActionEntry, asking: &Asking) -> Decision {
-        if !entry.body_digest.matches(&asking.body_digest) {
+    fn decide_logged(&self, entry: &ActionEntry, req: &Asking) -> Decision {
+        if !entry.body_digest.matches(&req.body_digest) {
             return Decision::Mismatch;
         }
         match &entry.end {
             // An earlier owner granted the attempt, but its reply was lost; the node hasn't sent the request.
-            None if entry.attempt == asking.attempt => Decision::Send { epoch: self.epoch },
+            None if entry.attempt == req.attempt => Decision::Send { epoch: self.epoch },
             None => Decision::Unknown {
                 attempt: entry.attempt.clone(),
             },
--- a/crates/sesamecart-actions/src/owner/durable.rs
+++ b/crates/sesamecart-actions/src/owner/durable.rs
@@ -10,20 +10,20 @@
 
 impl Owner {
     /// Records whether an item that was to be stored is durable.
-    pub fn committed(&mut self, known: KnownActions<'_>, durable: &Durable, out: &mut Vec<Effect>) {
+    pub fn committed(&mut self, cx: KnownActions<'_>, durable: &Durable, out: &mut Vec<Effect>) {
         match durable {
             Durable::Logged(CommitItem::Intent { intent, .. }) => {
-                let verdict = verdict_of(known.actions, intent);
-                self.intent_committed(known, intent, verdict, out);
+                let verdict = verdict_of(cx.actions, intent);
+                self.intent_committed(cx, intent, verdict, out);
             }
             Durable::Mirrored(CommitItem::Intent { intent, .. }) => {
-                self.intent_committed(known, intent, IntentVerdict::Stands, out);
+                self.intent_committed(cx, intent, IntentVerdict::Stands, out);
             }
             Durable::Lost(CommitItem::Intent { intent, .. }) => {
-                self.intent_lost(known, intent, out);
+                self.intent_lost(cx, intent, out);
             }
             Durable::Logged(CommitItem::Outcome { outcome, .. }) => {
-                self.outcome_logged(known, outcome, out);
+                self.outcome_logged(cx, outcome, out);
             }
             Durable::Mirrored(CommitItem::Outcome { .. })
             | Durable::Lost(CommitItem::Outcome { .. }) => {}
@@ -33,7 +33,7 @@
     /// Grants the attempt if its intent was accepted, and otherwise decides by the log's state of the key.
     pub(super) fn intent_committed(
         &mut self,
-        known: KnownActions<'_>,
+        cx: KnownActions<'_>,
         intent: &ActionIntent,
         verdict: IntentVerdict,
         out: &mut Vec<Effect>,
@@ -55,7 +55,7 @@
             return;
         }
         let entry = self.entries.shift_remove(&key);
-        let decision = match known.actions.get(&key) {
+        let decision = match cx.actions.get(&key) {
             Some(logged_entry) if !allows_new_attempt(logged_entry) => {
                 decide_logged_entry(logged_entry, intent.body_digest)
             }
@@ -63,7 +63,7 @@
         };
         out.push(Effect::Reply(ticket, decision));
         for waiter in entry.into_iter().flat_map(|entry| entry.waiters) {
-            self.begin(known, waiter.ticket, waiter.asking, out);
+            self.begin(cx, waiter.ticket, waiter.req, out);
         }
     }
 
@@ -73,7 +73,7 @@
     /// sent, so the outcome "not run" is correct, and it allows the caller's next attempt.
     pub(super) fn intent_lost(
         &mut self,
-        known: KnownActions<'_>,
+        cx: KnownActions<'_>,
         intent: &ActionIntent,
         out: &mut Vec<Effect>,
     ) {
@@ -87,7 +87,7 @@
         if entry.attempt != intent.attempt {
             return;
         }
-        let (_, waiters) = entry.set_outcome(ActionEnd::NotRun, known.now);
+        let (_, waiters) = entry.set_outcome(ActionEnd::NotRun, cx.now);
         self.commit_outcome(&key, out);
         let refusal = self.refuse(RefusalReason::NotDurable);
         out.push(Effect::Reply(ticket, refusal.clone()));
@@ -102,7 +102,7 @@
     /// owner is replaced during an outage. The node that reported the outcome must then report it again.
     pub(super) fn outcome_logged(
         &mut self,
-        known: KnownActions<'_>,
+        cx: KnownActions<'_>,
         outcome: &ActionOutcome,
         out: &mut Vec<Effect>,
     ) {
@@ -113,7 +113,7 @@
         if entry.attempt != outcome.attempt {
             return;
         }
-        let logged_entry = known.actions.get(&key);
+        let logged_entry = cx.actions.get(&key);
         let logged_entry = logged_entry.filter(|logged| logged.attempt == outcome.attempt);
         let is_accepted = logged_entry.is_some_and(|logged| logged.end.is_some());
         // The log has no intent for this attempt, so "not run" need not be recorded.
@@ -129,11 +129,11 @@
     /// Returns the key's entry, and creates it from the log's state if there is none.
     pub(super) fn entry_for_outcome(
         &mut self,
-        known: KnownActions<'_>,
+        cx: KnownActions<'_>,
         key: &ActionKey,
         attempt: &AttemptId,
     ) -> &mut Entry {
-        let digest = known.actions.get(key).map(|entry| entry.body_digest);
+        let digest = cx.actions.get(key).map(|entry| entry.body_digest);
         self.entries.entry(key.clone()).or_insert_with(|| Entry {
             body_digest: digest.unwrap_or_else(|| BodyDigest::of(&[])),
             attempt: attempt.clone(),
@@ -143,7 +143,7 @@
             },
             waiters: Vec::new(),
             recorders: Vec::new(),
-            updated_at: known.now,
+            updated_at: cx.now,
         })
     }
 
--- a/crates/sesamecart-actions/src/owner/entry.rs
+++ b/crates/sesamecart-actions/src/owner/entry.rs
@@ -33,7 +33,7 @@
 #[derive(Debug)]
 pub(super) struct Waiter {
     pub(super) ticket: Ticket,
-    pub(super) asking: Asking,
+    pub(super) req: Asking,
 }
 
 /// The state of one key.
@@ -45,7 +45,7 @@
     pub(super) waiters: Vec<Waiter>,
     /// The calls that reported the outcome and are waiting for it to become durable.
     pub(super) recorders: Vec<Ticket>,
-    /// When the entry was created or the outcome was last reported.
+    /// When the entry was created or the outcome was last recorded.
     pub(super) updated_at: Timestamp,
 }
 
@@ -57,7 +57,7 @@
         let earlier = self
             .waiters
             .iter_mut()
-            .find(|earlier| earlier.asking.attempt == waiter.asking.attempt);
+            .find(|earlier| earlier.req.attempt == waiter.req.attempt);
         if let Some(earlier) = earlier {
             *earlier = waiter;
             return true;
--- a/crates/sesamecart-actions/tests/simulation/mod.rs
+++ b/crates/sesamecart-actions/tests/simulation/mod.rs
@@ -65,7 +65,7 @@
     gather: Option<Gather>,
     mirrors: Mirrors,
     /// Whether a claim with new voters was sent whose result hasn't been read yet.
-    renewing: bool,
+    has_pending_claim: bool,
 }
 
 /// The progress of a caller's attempt.
@@ -83,7 +83,7 @@
     progress: Progress,
     /// The outcome to report to an owner.
     end: Option<ActionEnd>,
-    told_not_run: bool,
+    reported_not_run: bool,
     runs: u32,
 }
 
@@ -136,7 +136,7 @@
         owner: None,
         gather: None,
         mirrors,
-        renewing: false,
+        has_pending_claim: false,
     }
 }
 
@@ -173,7 +173,7 @@
             if runs > 1 {
                 return Err(format!("key {index} ran {runs} times"));
             }
-            if of_key().any(|one| one.told_not_run && one.runs > 0) {
+            if of_key().any(|one| one.reported_not_run && one.runs > 0) {
                 return Err(format!(
                     "key {index} ran although its caller was told that it had not"
                 ));
@@ -237,7 +237,7 @@
             id,
             progress: Progress::Pending,
             end: None,
-            told_not_run: false,
+            reported_not_run: false,
             runs: 0,
         });
         self.begin(index, self.attempts.len() - 1);
@@ -256,15 +256,13 @@
 
     fn begin(&mut self, index: usize, one: usize) {
         let ticket = self.ticket(one);
-        let asking = Asking {
+        let req = Asking {
             key: self.attempts[one].key.clone(),
             body_digest: BodyDigest::of(b"body"),
             attempt: self.attempts[one].id.clone(),
             until: self.now + Duration::from_secs(1),
         };
-        self.with_owner(index, |owner, known, out| {
-            owner.begin(known, ticket, asking, out)
-        });
+        self.with_owner(index, |owner, cx, out| owner.begin(cx, ticket, req, out));
     }
 
     fn ticket(&mut self, one: usize) -> Ticket {
@@ -284,14 +282,14 @@
         let Some(owner) = &mut node.owner else {
             return;
         };
-        let known = KnownActions {
+        let cx = KnownActions {
             now,
             wall_ms: now.0 / 1_000,
             actions: &node.fold.state().actions,
             has_room: node.commit.has_room(),
         };
         let mut out = Vec::new();
-        call(owner, known, &mut out);
+        call(owner, cx, &mut out);
         self.carry_out(index, out);
     }
 
@@ -330,7 +328,7 @@
             Decision::Refused { .. } | Decision::NotOwner => {
                 self.coverage.refused += 1;
                 self.attempts[one].progress = Progress::Done;
-                self.attempts[one].told_not_run = true;
+                self.attempts[one].reported_not_run = true;
                 self.attempts[one].end = Some(ActionEnd::NotRun);
             }
             Decision::Unknown { .. } => {
@@ -381,9 +379,7 @@
             } else {
                 item
             };
-            self.with_owner(index, |owner, known, out| {
-                owner.committed(known, &item, out)
-            });
+            self.with_owner(index, |owner, cx, out| owner.committed(cx, &item, out));
         }
         self.depose_if_replaced(index);
     }
@@ -393,7 +389,9 @@
         let lease = self.nodes[index].fold.state().leases.get(&SHARD).cloned();
         let voters = lease.map(|lease| lease.voters).unwrap_or_default();
         for voter in 0..self.nodes.len() {
-            if self.nodes[index].renewing && self.mutant != Mutant::RenewsWithMirroredIntents {
+            if self.nodes[index].has_pending_claim
+                && self.mutant != Mutant::RenewsWithMirroredIntents
+            {
                 break;
             }
             if !voters.contains(&self.nodes[voter].id) {
@@ -420,9 +418,7 @@
         self.coverage.mirrored += u32::from(is_mirrored);
         let durable = self.nodes[index].commit.mirrored(batch.id, is_mirrored);
         for item in durable {
-            self.with_owner(index, |owner, known, out| {
-                owner.committed(known, &item, out)
-            });
+            self.with_owner(index, |owner, cx, out| owner.committed(cx, &item, out));
         }
     }
 
@@ -465,7 +461,7 @@
             && epoch > owner.epoch()
         {
             owner.renew(epoch);
-            node.renewing = false;
+            node.has_pending_claim = false;
         }
         if let Some(owner) = node.owner.take_if(|owner| Some(owner.epoch()) != epoch) {
             let mut out = Vec::new();
@@ -498,7 +494,7 @@
         }
         let node = &mut self.nodes[index];
         node.owner = Some(Owner::new(SHARD, epoch, OwnerConfig::default()));
-        node.renewing = false;
+        node.has_pending_claim = false;
         let gather = last.map_or_else(
             || Gather::new(Epoch(0), []),
             |lease| Gather::new(lease.epoch, lease.voters),
@@ -536,7 +532,7 @@
             builds_on: Some(owner.epoch()),
             voters,
         };
-        node.renewing = true;
+        node.has_pending_claim = true;
         if self.log_up && self.rng.u32(..3) > 0 {
             self.log.push(claim.encode());
             self.coverage.renewed += 1;
@@ -574,9 +570,7 @@
     fn adopt(&mut self, index: usize, intents: Vec<sesamecart_fold::ActionIntent>) {
         self.coverage.recovered += u32::try_from(intents.len()).unwrap();
         self.nodes[index].gather = None;
-        self.with_owner(index, |owner, known, out| {
-            owner.adopt(known, intents, true, out)
-        });
+        self.with_owner(index, |owner, cx, out| owner.adopt(cx, intents, true, out));
     }
 
     /// Sends a granted attempt; its node may crash before or after sending.
@@ -593,7 +587,7 @@
         sent.progress = Progress::Done;
         match fate {
             0 => {
-                sent.told_not_run = true;
+                sent.reported_not_run = true;
                 sent.end = Some(ActionEnd::NotRun);
                 return;
             }
@@ -619,8 +613,8 @@
         let ended = &self.attempts[one];
         let (key, attempt) = (ended.key.clone(), ended.id.clone());
         let end = ended.end.clone().unwrap();
-        self.with_owner(index, |owner, known, out| {
-            owner.finish(known, ticket, &key, &attempt, end, out);
+        self.with_owner(index, |owner, cx, out| {
+            owner.finish(cx, ticket, &key, &attempt, end, out);
         });
     }
 
@@ -653,7 +647,7 @@
 
     fn tick(&mut self, index: usize) {
         self.now = self.now + Duration::from_millis(self.rng.u64(..800));
-        self.with_owner(index, |owner, known, out| owner.tick(known, out));
+        self.with_owner(index, |owner, cx, out| owner.tick(cx, out));
     }
 }
 
--- a/crates/sesamecart-lease/src/leases.rs
+++ b/crates/sesamecart-lease/src/leases.rs
@@ -19,15 +19,15 @@
 /// [`Self::owners`] to other threads.
 #[derive(Debug)]
 pub struct Leases {
-    me: Holder,
+    local: Holder,
     settings: LeaseSettings,
     shards: Vec<Shard>,
-    started: Timestamp,
+    started_at: Timestamp,
     /// Whether this process has read the log's tail.
     has_read_tail: bool,
     /// When the last tail read finished.
     last_tail_read_at: Option<Timestamp>,
-    leaving: bool,
+    is_leaving: bool,
     pinned: IndexSet<ShardId>,
     desired_view: View,
     desired: IndexMap<ShardId, NodeId>,
@@ -40,20 +40,20 @@
     ///
     /// Returns the first problem found in the settings.
     pub fn new(
-        me: Holder,
+        local: Holder,
         shards: u16,
         settings: LeaseSettings,
         now: Timestamp,
     ) -> Result<Self, LeaseSettingsError> {
         settings.check()?;
         Ok(Self {
-            me,
+            local,
             settings,
             shards: (0..shards).map(|id| Shard::new(ShardId(id))).collect(),
-            started: now,
+            started_at: now,
             has_read_tail: false,
             last_tail_read_at: None,
-            leaving: false,
+            is_leaving: false,
             pinned: IndexSet::new(),
             desired_view: View::default(),
             desired: IndexMap::new(),
@@ -70,9 +70,9 @@
 
     /// Applies a claim record; records must come in log order.
     pub fn on_claim(&mut self, claim: &ClaimSeen, now: Timestamp) -> Verdict {
-        let (me, settings) = (self.me.clone(), self.settings);
+        let (local, settings) = (self.local.clone(), self.settings);
         match self.shard_mut(claim.shard) {
-            Some(shard) => shard.apply_claim(claim, &me, &settings, now),
+            Some(shard) => shard.apply_claim(claim, &local, &settings, now),
             None => Verdict::Stale,
         }
     }
@@ -167,7 +167,7 @@
 
     /// Starts to hand over all shards because this node is shutting down.
     pub fn leave(&mut self) {
-        self.leaving = true;
+        self.is_leaving = true;
     }
 
     /// Returns whether this node has handed over or lost all shards.
@@ -288,7 +288,7 @@
             return;
         };
         for to in requests.voters {
-            if to != self.me.node {
+            if to != self.local.node {
                 effects.push(Effect::AskVote {
                     to,
                     vote: vote.clone(),
@@ -418,10 +418,10 @@
     }
 
     fn should_claim(&self, id: ShardId, shard: &Shard, view: &View, now: Timestamp) -> bool {
-        if self.leaving || self.desired.get(&id) != Some(&self.me.node) {
+        if self.is_leaving || self.desired.get(&id) != Some(&self.local.node) {
             return false;
         }
-        if now < self.started + self.settings.startup_delay {
+        if now < self.started_at + self.settings.startup_delay {
             return false;
         }
         let Some(lease) = &shard.lease else {
@@ -432,11 +432,11 @@
 
     fn is_holder_down(&self, holder: &Holder, view: &View, now: Timestamp) -> bool {
         // A checkpoint can contain a claim of this node for which it never started the takeover wait.
-        if *holder == self.me {
+        if *holder == self.local {
             return true;
         }
         let Some(node) = view.nodes.get(&holder.node) else {
-            return now >= self.started + self.settings.unknown_holder_delay;
+            return now >= self.started_at + self.settings.unknown_holder_delay;
         };
         if node.incarnation > holder.incarnation {
             return true;
@@ -445,14 +445,14 @@
     }
 
     fn should_release(&mut self, index: usize, view: &View, now: Timestamp) -> bool {
-        if self.leaving {
+        if self.is_leaving {
             return true;
         }
         let id = ShardId(u16::try_from(index).expect("made from a u16"));
         let has_preferred_owner = self
             .desired
             .get(&id)
-            .is_some_and(|node| *node != self.me.node && is_live(view, node));
+            .is_some_and(|node| *node != self.local.node && is_live(view, node));
         let shard = &mut self.shards[index];
         if !has_preferred_owner {
             shard.preferred_owner_since = None;
--- a/crates/sesamecart-lease/src/shard.rs
+++ b/crates/sesamecart-lease/src/shard.rs
@@ -48,7 +48,7 @@
     pub(crate) valid_until: Timestamp,
     /// For each voter, the time of the last request that it granted.
     grants: IndexMap<NodeId, Timestamp>,
-    pub(crate) asked_at: Option<Timestamp>,
+    pub(crate) last_request_at: Option<Timestamp>,
     pub(crate) announced: bool,
 }
 
@@ -206,7 +206,7 @@
             return VoteRequests::default();
         };
         if claimant
-            .asked_at
+            .last_request_at
             .is_some_and(|at| now < at + settings.vote_interval)
         {
             return VoteRequests::default();
@@ -223,7 +223,7 @@
             (VotePurpose::Applied, None) => Vec::new(),
             (VotePurpose::Extend, _) => lease.voters.clone(),
         };
-        claimant.asked_at = Some(now);
+        claimant.last_request_at = Some(now);
         let vote = Vote {
             shard: self.id,
             epoch: claimant.epoch,
@@ -276,7 +276,7 @@
             active_from,
             valid_until: Timestamp::ZERO,
             grants: IndexMap::new(),
-            asked_at: None,
+            last_request_at: None,
             announced: false,
         }
     }
@@ -286,7 +286,7 @@
         Self {
             epoch,
             grants: IndexMap::new(),
-            asked_at: None,
+            last_request_at: None,
             announced: false,
             ..self
         }
