--- a/crates/sesamecart-entry/src/beliefs.rs
+++ b/crates/sesamecart-entry/src/beliefs.rs
@@ -39,7 +39,7 @@
 
 /// The state that the threads of one node share.
 #[derive(Debug)]
-pub struct Beliefs {
+pub struct EntryState {
     /// The node's settings.
     pub settings: EntrySettings,
     /// The decision log.
@@ -85,7 +85,7 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-impl Beliefs {
+impl EntryState {
     /// Creates the state of a node that has read nothing yet.
     #[must_use]
     pub fn new(settings: EntrySettings, events: EventLog, metrics: Metrics) -> Self {
@@ -120,7 +120,7 @@
 
     /// Returns the number of open groups that this node may send requests to.
     #[must_use]
-    pub fn open_groups(&self) -> usize {
+    pub fn open_group_count(&self) -> usize {
         let directory = self.directory.load();
         let heads = directory
             .listed()
@@ -130,20 +130,20 @@
 
     /// Returns the number of requests that other nodes report to have in flight at the heads of groups.
     #[must_use]
-    pub fn requests_elsewhere(&self) -> u32 {
+    pub fn peer_requests_in_flight(&self) -> u32 {
         self.loads().peer_in_flight()
     }
 
     /// Returns the number of groups of a model that the callers of all nodes keep busy, or `None` while
     /// there is no estimate yet.
     #[must_use]
-    pub fn needed_groups(&self, model: &ModelId) -> Option<f64> {
+    pub fn estimated_groups_needed(&self, model: &ModelId) -> Option<f64> {
         self.estimated_demand().map(|demand| demand.groups(model))
     }
 
     /// Returns the failure domains that are evacuated and get no new work.
     #[must_use]
-    pub fn evacuated(&self) -> Vec<FailureDomainId> {
+    pub fn evacuated_domains(&self) -> Vec<FailureDomainId> {
         let directory = self.directory.load();
         directory.evacuated().iter().cloned().collect()
     }
@@ -158,7 +158,7 @@
     }
 
     /// Returns the timeouts for the first events of streams, and the times that they are derived from.
-    pub(crate) fn first_events(&self) -> MutexGuard<'_, FirstEventTimeouts> {
+    pub(crate) fn first_event_timeouts(&self) -> MutexGuard<'_, FirstEventTimeouts> {
         lock(&self.first_events)
     }
 
@@ -169,7 +169,7 @@
     }
 
     /// Records that a read sent at `sent` showed the configuration to be complete.
-    pub(crate) fn confirm_freshness(&self, sent: Timestamp) {
+    pub(crate) fn confirm_configuration(&self, sent: Timestamp) {
         self.confirmed_at.fetch_max(sent.0, Ordering::AcqRel);
     }
 
@@ -186,7 +186,7 @@
     }
 
     /// Returns whether the configuration may lack a change that must already be in force.
-    pub(crate) fn is_outdated(&self) -> bool {
+    pub(crate) fn is_configuration_outdated(&self) -> bool {
         let bound = Duration::from_millis(self.settings.bounds.configuration_ms);
         !self.freshness().is_confirmed_fresh(clock::now(), bound)
     }
@@ -201,12 +201,12 @@
     }
 
     /// Returns the record of this node that is published to the other nodes.
-    pub(crate) fn own_entry(&self) -> PeerNode {
+    pub(crate) fn local_peer(&self) -> PeerNode {
         local_peer(&self.settings)
     }
 
     /// Sets the address for links of the node to follow, or `None` to read the store itself.
-    pub(crate) fn follow(&self, links: Option<SocketAddr>) {
+    pub(crate) fn set_upstream(&self, links: Option<SocketAddr>) {
         self.reads_store.store(links.is_none(), Ordering::Release);
         self.upstream.store(links.map(Arc::new));
     }
@@ -219,7 +219,7 @@
 
     /// Returns the address for links of the node that this node follows.
     #[must_use]
-    pub fn followed(&self) -> Option<SocketAddr> {
+    pub fn upstream(&self) -> Option<SocketAddr> {
         self.upstream.load().as_deref().copied()
     }
 
@@ -229,13 +229,13 @@
     }
 
     /// Returns whether this node controls the groups.
-    pub(crate) fn controls(&self) -> bool {
+    pub(crate) fn is_controller(&self) -> bool {
         self.is_controller.load(Ordering::Acquire)
     }
 
     /// Records that the loss of a group is reported to the controller. Returns false if it was already
     /// reported a short time ago and needs no other report.
-    pub(crate) fn note_reported(&self, key: &GroupKey) -> bool {
+    pub(crate) fn mark_loss_reported(&self, key: &GroupKey) -> bool {
         let now = clock::now();
         let mut reported = lock(&self.losses_reported);
         reported.retain(|_, at| now.since(*at) < LOSS_REPORT_INTERVAL);
@@ -246,7 +246,7 @@
         true
     }
 
-    pub(crate) fn note_registry_read(&self) {
+    pub(crate) fn set_registry_read(&self) {
         self.registry_read.store(true, Ordering::Release);
     }
 
@@ -285,7 +285,7 @@
         None
     }
 
-    pub(crate) fn note_request(&self) {
+    pub(crate) fn record_request(&self) {
         self.requests.fetch_add(1, Ordering::Relaxed);
     }
 
@@ -299,7 +299,7 @@
     }
 
     /// Returns the signal that is triggered when a group is found lost.
-    pub(crate) fn watch_group(&self, key: &GroupKey) -> Signal {
+    pub(crate) fn group_loss_signal(&self, key: &GroupKey) -> Signal {
         let mut signals = lock(&self.loss_signals);
         if let Some(loss) = signals.get(key) {
             return loss.signal.clone();
@@ -315,9 +315,9 @@
     }
 
     /// Marks a group as lost, so that its requests are moved to other endpoints immediately.
-    pub(crate) fn lose_group(&self, key: &GroupKey) {
+    pub(crate) fn mark_group_lost(&self, key: &GroupKey) {
         let now = clock::now();
-        let _signal = self.watch_group(key);
+        let _signal = self.group_loss_signal(key);
         if let Some(loss) = lock(&self.loss_signals).get_mut(key) {
             loss.lost_at = Some(now);
             loss.trigger.give();
@@ -325,7 +325,7 @@
     }
 
     /// Returns whether the group of an endpoint was recently found lost.
-    pub(crate) fn is_lost(&self, endpoint: &Endpoint) -> bool {
+    pub(crate) fn is_group_lost(&self, endpoint: &Endpoint) -> bool {
         let Some(key) = endpoint.group_key() else {
             return false;
         };
@@ -334,7 +334,7 @@
     }
 
     /// Removes entries of groups and endpoints that are no longer in the directory, and expired losses.
-    pub(crate) fn tidy_groups(&self, now: Timestamp, directory: &Directory) {
+    pub(crate) fn prune_groups(&self, now: Timestamp, directory: &Directory) {
         lock(&self.loss_signals).retain(|key, loss| {
             let is_expired = loss
                 .lost_at
--- a/crates/sesamecart-entry/src/beliefs/budgets.rs
+++ b/crates/sesamecart-entry/src/beliefs/budgets.rs
@@ -11,7 +11,7 @@
     CustomerId, EndpointId, ModelId, NodeId, ServiceId, Timestamp, rendezvous_weight,
 };
 
-use super::{Beliefs, lock};
+use super::{EntryState, lock};
 use crate::clock;
 
 /// The set of endpoints that requests compete for: all of a service, or the groups of one of its models.
@@ -48,9 +48,9 @@
     }
 }
 
-impl Beliefs {
+impl EntryState {
     /// Records that a request was placed at an endpoint of a pool.
-    pub(crate) fn note_placed(&self, pool: &Pool, customer: Option<&CustomerId>) {
+    pub(crate) fn record_placed(&self, pool: &Pool, customer: Option<&CustomerId>) {
         let now = clock::now();
         let mut contentions = lock(&self.contentions);
         let contention = contentions.get_or_default(pool);
@@ -106,7 +106,7 @@
     }
 
     /// Takes one request from this node's share of the request rate that a cold endpoint can serve.
-    pub(crate) fn take_cold(&self, endpoint: &Endpoint, per_s: f64) -> bool {
+    pub(crate) fn try_take_cold_request(&self, endpoint: &Endpoint, per_s: f64) -> bool {
         let now = clock::now();
         let mut cold = lock(&self.cold);
         let allowance = cold.entry(endpoint.id.clone()).or_insert_with(|| {
--- a/crates/sesamecart-entry/src/controller.rs
+++ b/crates/sesamecart-entry/src/controller.rs
@@ -18,7 +18,7 @@
 use sesamecart_runtime::{Tasks, sleep};
 use sesamecart_vocabulary::{ModelId, Timestamp};
 
-use crate::beliefs::Beliefs;
+use crate::beliefs::EntryState;
 use crate::clock;
 use crate::controller::engines::EngineClient;
 use crate::controller::lease::Lease;
@@ -42,7 +42,7 @@
 
 /// Acquires the control lease when it is free, and manages the groups while it holds the lease.
 pub(crate) struct Controller {
-    pub(crate) beliefs: Arc<Beliefs>,
+    pub(crate) state: Arc<EntryState>,
     pub(crate) store: Store,
     pub(crate) client: HttpClient,
     pub(crate) links: Links,
@@ -82,7 +82,7 @@
 impl Controller {
     pub(crate) async fn run(self) {
         let mut formed = 0;
-        let lease = Arc::new(Lease::new(Arc::clone(&self.beliefs), self.store.clone()));
+        let lease = Arc::new(Lease::new(Arc::clone(&self.state), self.store.clone()));
         self.tasks.spawn(Arc::clone(&lease).run());
         let mut term: Option<Term> = None;
         loop {
@@ -93,14 +93,14 @@
                     if let Some(ended) = term.take() {
                         // Names of groups must not be reused, even if the next term has the same fence.
                         formed = ended.planner.formed();
-                        self.beliefs.metrics.record_unservable(0);
+                        self.state.metrics.record_unservable(0);
                         ended.tasks.cancel().await;
                     }
                 }
                 _ => {}
             }
             let is_forming = term.as_ref().is_some_and(|term| term.planner.is_forming());
-            self.beliefs.set_forming(is_forming);
+            self.state.set_forming(is_forming);
             let wakeup = self.wait(term.as_ref()).await;
             self.handle(term.as_mut(), wakeup).await;
         }
@@ -117,7 +117,7 @@
             logged_at: Timestamp::ZERO,
             unservable: IndexSet::new(),
             engines: Arc::new(EngineClient::new(
-                Arc::clone(&self.beliefs),
+                Arc::clone(&self.state),
                 self.client.clone(),
                 Arc::clone(lease),
             )),
@@ -159,23 +159,23 @@
             }
             (Some(term), Wakeup::Plan) => self.plan(term),
             (None, Wakeup::LossDetected(key)) => {
-                losses::report(&self.beliefs, &self.store, &self.links, &key).await;
+                losses::report(&self.state, &self.store, &self.links, &key).await;
             }
             (None, _) => {}
         }
     }
 
     fn plan(&self, term: &mut Term) {
-        let Some(catalog) = self.beliefs.catalog.load_full() else {
+        let Some(catalog) = self.state.catalog.load_full() else {
             return;
         };
-        let directory = self.beliefs.directory.load_full();
+        let directory = self.state.directory.load_full();
         let now = clock::now();
         let is_log_due = now.since(term.logged_at) >= FLEET_LOG_INTERVAL;
         if is_log_due {
             term.logged_at = now;
         }
-        let demand = self.beliefs.estimated_demand();
+        let demand = self.state.estimated_demand();
         for (service, service_spec) in &catalog.services {
             let Some(spec) = &service_spec.engine else {
                 continue;
@@ -187,14 +187,14 @@
                 service,
                 spec,
                 directory: &directory,
-                in_traffic: self.beliefs.is_in_traffic(),
+                in_traffic: self.state.is_in_traffic(),
                 demand: demand.as_ref(),
             };
             if is_log_due {
-                log_fleet_counts(&self.beliefs, &term.planner, &input);
+                log_fleet_counts(&self.state, &term.planner, &input);
             }
             let steps = term.planner.plan(now, &input);
-            term.log_unservable(&self.beliefs, now, &input);
+            term.log_unservable(&self.state, now, &input);
             for step in steps {
                 term.start_step(step, self);
             }
@@ -202,10 +202,10 @@
     }
 }
 
-fn log_fleet_counts(beliefs: &Beliefs, planner: &Planner, input: &PlannerInput<'_>) {
+fn log_fleet_counts(state: &EntryState, planner: &Planner, input: &PlannerInput<'_>) {
     let (models, empty) = planner.summary(input);
     for counts in models {
-        beliefs.events.write(&Event::FleetCounted {
+        state.events.write(&Event::FleetCounted {
             model: counts.model.as_str(),
             open: counts.open,
             reachable: counts.reachable,
@@ -233,15 +233,15 @@
 impl Term {
     /// Logs each model that can't be served once, so that operators look for missing engines and not for a
     /// fault.
-    fn log_unservable(&mut self, beliefs: &Beliefs, now: Timestamp, input: &PlannerInput<'_>) {
+    fn log_unservable(&mut self, state: &EntryState, now: Timestamp, input: &PlannerInput<'_>) {
         let models = self.planner.unservable(now, input.spec);
-        beliefs.metrics.record_unservable(models.len());
+        state.metrics.record_unservable(models.len());
         let engines = input.directory.largest_fabric_domain(input.service);
         for model in &models {
             if self.unservable.contains(&model.model) {
                 continue;
             }
-            beliefs.events.write(&Event::ModelUnservable {
+            state.events.write(&Event::ModelUnservable {
                 model: model.model.as_str(),
                 group_size: model.group_size,
                 engines,
@@ -305,14 +305,14 @@
         }
         let engines = Arc::clone(&self.engines);
         let outcome_tx = self.outcome_tx.clone();
-        let (beliefs, client) = (Arc::clone(&controller.beliefs), controller.client.clone());
+        let (state, client) = (Arc::clone(&controller.state), controller.client.clone());
         let announce = {
-            let (beliefs, links) = (Arc::clone(&beliefs), controller.links.clone());
+            let (state, links) = (Arc::clone(&state), controller.links.clone());
             let tasks = self.tasks.clone();
-            move |key| tasks.spawn(losses::announce(beliefs, links, key))
+            move |key| tasks.spawn(losses::announce(state, links, key))
         };
         self.tasks.spawn(async move {
-            let outcome = execute(step, &beliefs, &client, &engines, announce).await;
+            let outcome = execute(step, &state, &client, &engines, announce).await;
             if let Some(outcome) = outcome {
                 // The receiver is gone if the term has ended, and then the outcome isn't needed.
                 let _sent = outcome_tx.send(outcome).await;
--- a/crates/sesamecart-entry/src/controller/engines.rs
+++ b/crates/sesamecart-entry/src/controller/engines.rs
@@ -11,7 +11,7 @@
 use sesamecart_runtime::sleep;
 use sesamecart_vocabulary::EndpointId;
 
-use crate::beliefs::Beliefs;
+use crate::beliefs::EntryState;
 use crate::controller::lease::Lease;
 use crate::events::Event;
 use crate::watch::{MAX_PROBES, PROBE_TIMEOUT};
@@ -46,7 +46,7 @@
 /// Sends orders to engines under the control lease.
 #[derive(Debug)]
 pub(crate) struct EngineClient {
-    beliefs: Arc<Beliefs>,
+    state: Arc<EntryState>,
     client: HttpClient,
     orders: Orders,
     lease: Arc<Lease>,
@@ -54,9 +54,9 @@
 }
 
 impl EngineClient {
-    pub(crate) fn new(beliefs: Arc<Beliefs>, client: HttpClient, lease: Arc<Lease>) -> Self {
+    pub(crate) fn new(state: Arc<EntryState>, client: HttpClient, lease: Arc<Lease>) -> Self {
         Self {
-            beliefs,
+            state,
             orders: Orders::new(client.clone(), ORDER_TIMEOUT),
             client,
             lease,
@@ -82,7 +82,7 @@
     }
 
     async fn is_silent(&self, engine: &EndpointId) -> bool {
-        let endpoint = self.beliefs.directory.load().find(engine).cloned();
+        let endpoint = self.state.directory.load().find(engine).cloned();
         let Some(endpoint) = endpoint else {
             return true;
         };
@@ -106,8 +106,8 @@
     /// number of orders that the engine must have started so far, so a late order has no effect.
     pub(crate) async fn send_order(&self, engine: &EndpointId, order: &Order) -> OrderOutcome {
         let (outcome, fence) = self.try_send_order(engine, order).await;
-        self.beliefs.metrics.count_order(outcome_label(&outcome));
-        self.beliefs.events.write(&Event::OrderGiven {
+        self.state.metrics.count_order(outcome_label(&outcome));
+        self.state.events.write(&Event::OrderGiven {
             endpoint: engine.as_str(),
             order: &order.to_string(),
             fence: fence.0,
@@ -121,7 +121,7 @@
     }
 
     async fn try_send_order(&self, engine: &EndpointId, order: &Order) -> (OrderOutcome, Fence) {
-        let endpoint = self.beliefs.directory.load().find(engine).cloned();
+        let endpoint = self.state.directory.load().find(engine).cloned();
         let Some(endpoint) = endpoint else {
             let outcome = OrderOutcome::NotSent("the endpoint is gone".to_owned());
             return (outcome, Fence::default());
--- a/crates/sesamecart-entry/src/controller/lease.rs
+++ b/crates/sesamecart-entry/src/controller/lease.rs
@@ -9,7 +9,7 @@
 use sesamecart_runtime::sleep;
 use sesamecart_vocabulary::Timestamp;
 
-use crate::beliefs::Beliefs;
+use crate::beliefs::EntryState;
 use crate::clock;
 use crate::events::Event;
 use crate::follower::Dependency;
@@ -40,7 +40,7 @@
 /// token of all orders, so an order of an earlier holder that is still in flight is refused.
 #[derive(Debug)]
 pub(crate) struct Lease {
-    beliefs: Arc<Beliefs>,
+    state: Arc<EntryState>,
     store: Store,
     /// The member ID of this process in the store's group.
     ///
@@ -54,10 +54,10 @@
 }
 
 impl Lease {
-    pub(crate) fn new(beliefs: Arc<Beliefs>, store: Store) -> Self {
-        let member = format!("{}-{:08x}", beliefs.settings.node, fastrand::u32(..));
+    pub(crate) fn new(state: Arc<EntryState>, store: Store) -> Self {
+        let member = format!("{}-{:08x}", state.settings.node, fastrand::u32(..));
         Self {
-            beliefs,
+            state,
             store,
             member,
             held: Mutex::new(None),
@@ -80,21 +80,21 @@
 
     /// Acquires the lease when it is free and renews it, until the node leaves or the task is dropped.
     pub(crate) async fn run(self: Arc<Self>) {
-        let min_ttl = Duration::from_millis(self.beliefs.settings.bounds.lease_least_ms);
+        let min_ttl = Duration::from_millis(self.state.settings.bounds.lease_least_ms);
         let ttl = LEASE_TTL.max(min_ttl);
         let mut dependency = Dependency::new("store, control");
         let mut generation = 0;
         loop {
             // Only nodes that read the store compete for control. If all nodes renewed a membership, the
             // calls to the store would grow with the number of nodes.
-            while !self.beliefs.reads_store() {
+            while !self.state.reads_store() {
                 self.set_held(None, "the node doesn't read the store");
                 sleep(RENEW_INTERVAL).await;
             }
             let sent = clock::now();
             match self.store.join(&self.member, ttl, generation).await {
                 Ok(joined) => {
-                    let _was_unavailable = dependency.answered(&self.beliefs);
+                    let _was_unavailable = dependency.answered(&self.state);
                     generation = joined.generation;
                     let is_refused = generation <= self.highest_refused.load(Ordering::Acquire);
                     if joined.holds && is_refused {
@@ -109,9 +109,9 @@
                     });
                     self.set_held(held, "the store says so");
                 }
-                Err(error) => dependency.failed(&self.beliefs, &error),
+                Err(error) => dependency.failed(&self.state, &error),
             }
-            if self.beliefs.is_leaving() {
+            if self.state.is_leaving() {
                 return self.release("the node is leaving").await;
             }
             sleep(RENEW_INTERVAL).await;
@@ -131,10 +131,10 @@
             let mut current = self.held.lock().unwrap_or_else(PoisonError::into_inner);
             std::mem::replace(&mut *current, held)
         };
-        self.beliefs.set_controller(held.is_some());
+        self.state.set_controller(held.is_some());
         if before.is_some() != held.is_some() {
             let fence = held.or(before).unwrap_or_default().fence;
-            self.beliefs.events.write(&Event::ControlChanged {
+            self.state.events.write(&Event::ControlChanged {
                 leads: held.is_some(),
                 fence: fence.0,
                 reason,
--- a/crates/sesamecart-entry/src/controller/observations.rs
+++ b/crates/sesamecart-entry/src/controller/observations.rs
@@ -54,5 +54,5 @@
 }
 
 fn parse_observation(record: &Record) -> Option<GroupKey> {
-    losses::parse_group(std::str::from_utf8(record.value.as_deref()?).ok()?)
+    losses::parse_group_key(std::str::from_utf8(record.value.as_deref()?).ok()?)
 }
--- a/crates/sesamecart-entry/src/controller/steps.rs
+++ b/crates/sesamecart-entry/src/controller/steps.rs
@@ -6,7 +6,7 @@
 use sesamecart_platform::{Order, OrderOutcome};
 use sesamecart_vocabulary::EndpointId;
 
-use crate::beliefs::Beliefs;
+use crate::beliefs::EntryState;
 use crate::controller::engines::EngineClient;
 use crate::events::Event;
 use crate::watch::{self, GroupProbe};
@@ -43,13 +43,13 @@
 
 pub(super) async fn execute(
     step: Step,
-    beliefs: &Beliefs,
+    state: &EntryState,
     client: &HttpClient,
     engines: &EngineClient,
     announce: impl FnOnce(GroupKey),
 ) -> Option<StepOutcome> {
     match step {
-        Step::Join(formation) => Some(join(beliefs, engines, formation).await),
+        Step::Join(formation) => Some(join(state, engines, formation).await),
         Step::Open(formation) => {
             let head = formation.members.first()?;
             let order = Order::Open(formation.key.clone());
@@ -67,16 +67,16 @@
             })
         }
         Step::Close(key) => {
-            close(beliefs, engines, key).await;
+            close(state, engines, key).await;
             None
         }
         Step::Retire { key, from, to } => {
-            beliefs.events.write(&Event::GroupRetired {
+            state.events.write(&Event::GroupRetired {
                 group: &key.to_string(),
                 model: from.as_str(),
                 to: to.as_str(),
             });
-            close(beliefs, engines, key).await;
+            close(state, engines, key).await;
             None
         }
         Step::Dissolve(key) => {
@@ -84,23 +84,23 @@
                 verdict: Verdict::Lost,
                 silent: Vec::new(),
             };
-            Some(dissolve(beliefs, engines, key, probe).await)
+            Some(dissolve(state, engines, key, probe).await)
         }
         Step::Examine(key) => {
-            let probe = watch::probe_group(beliefs, client, &key).await;
+            let probe = watch::probe_group(state, client, &key).await;
             if probe.verdict == Verdict::Sound {
                 return Some(StepOutcome::Sound { key });
             }
-            beliefs.lose_group(&key);
+            state.mark_group_lost(&key);
             announce(key.clone());
-            Some(dissolve(beliefs, engines, key, probe).await)
+            Some(dissolve(state, engines, key, probe).await)
         }
     }
 }
 
 /// Orders a group's head to accept no more requests. The planner repeats the step while the group is open.
-async fn close(beliefs: &Beliefs, engines: &EngineClient, key: GroupKey) {
-    if let Some(head) = head_of(beliefs, &key) {
+async fn close(state: &EntryState, engines: &EngineClient, key: GroupKey) {
+    if let Some(head) = head_of(state, &key) {
         engines.send_order(&head, &Order::Close(key)).await;
     }
 }
@@ -109,9 +109,9 @@
     matches!(outcome, OrderOutcome::Begun | OrderOutcome::Already)
 }
 
-async fn join(beliefs: &Beliefs, engines: &EngineClient, formation: Formation) -> StepOutcome {
+async fn join(state: &EntryState, engines: &EngineClient, formation: Formation) -> StepOutcome {
     let members: Vec<&str> = formation.members.iter().map(EndpointId::as_str).collect();
-    beliefs.events.write(&Event::GroupPlanned {
+    state.events.write(&Event::GroupPlanned {
         group: &formation.key.to_string(),
         model: formation.model.as_str(),
         members: &members.join(" "),
@@ -138,8 +138,8 @@
     }
 }
 
-fn head_of(beliefs: &Beliefs, key: &GroupKey) -> Option<EndpointId> {
-    let head = watch::group_head(&beliefs.directory.load(), key);
+fn head_of(state: &EntryState, key: &GroupKey) -> Option<EndpointId> {
+    let head = watch::group_head(&state.directory.load(), key);
     head.map(|head| head.id.clone())
 }
 
@@ -149,12 +149,12 @@
 /// So the head is ordered to leave first, which ends the group. If the head doesn't answer, every other
 /// member has to leave before it joins another group, because the head can't serve without its members.
 async fn dissolve(
-    beliefs: &Beliefs,
+    state: &EntryState,
     engines: &EngineClient,
     key: GroupKey,
     probe: GroupProbe,
 ) -> StepOutcome {
-    let head = head_of(beliefs, &key);
+    let head = head_of(state, &key);
     let order = Order::Leave(key.clone());
     let head_has_left = match (&head, probe.verdict) {
         (Some(head), Verdict::Lost | Verdict::Sound) => {
@@ -165,7 +165,7 @@
     let mut unconfirmed = probe.silent;
     if !head_has_left {
         let others: Vec<EndpointId> = {
-            let directory = beliefs.directory.load();
+            let directory = state.directory.load();
             let members = directory.members(&key).map(|member| member.id.clone());
             members
                 .filter(|id| Some(id) != head.as_ref() && !unconfirmed.contains(id))
--- a/crates/sesamecart-entry/src/examinations.rs
+++ b/crates/sesamecart-entry/src/examinations.rs
@@ -18,7 +18,7 @@
 use sesamecart_runtime::within;
 use sesamecart_vocabulary::Timestamp;
 
-use crate::beliefs::Beliefs;
+use crate::beliefs::EntryState;
 use crate::clock;
 use crate::events::Event;
 use crate::watch;
@@ -32,8 +32,8 @@
 
 /// Probes groups, directly or through the node that this node follows, and caches the verdicts.
 #[derive(Clone, Debug)]
-pub(crate) struct Examinations {
-    beliefs: Arc<Beliefs>,
+pub(crate) struct GroupProber {
+    state: Arc<EntryState>,
     client: HttpClient,
     links: Links,
     probes: Arc<Mutex<IndexMap<GroupKey, SharedProbe>>>,
@@ -46,10 +46,10 @@
     verdict: Arc<OnceCell<Verdict>>,
 }
 
-impl Examinations {
-    pub(crate) fn new(beliefs: Arc<Beliefs>, client: HttpClient, links: Links) -> Self {
+impl GroupProber {
+    pub(crate) fn new(state: Arc<EntryState>, client: HttpClient, links: Links) -> Self {
         Self {
-            beliefs,
+            state,
             client,
             links,
             probes: Arc::default(),
@@ -59,7 +59,7 @@
     /// Returns whether a group is sound as seen from this node. If this node follows another one, that node
     /// probes the members and this node only the head.
     pub(crate) async fn is_sound(&self, key: &GroupKey) -> bool {
-        if let Some(links) = self.beliefs.followed()
+        if let Some(links) = self.state.upstream()
             && let Some(is_sound) = self.probe_via_upstream(links, key).await
         {
             // The other node may reach engines that this node can't reach.
@@ -72,7 +72,7 @@
     pub(crate) async fn verdict(&self, key: &GroupKey) -> Verdict {
         let cell = self.verdict_cell(key);
         let probe = async {
-            let result = watch::probe_group(&self.beliefs, &self.client, key).await;
+            let result = watch::probe_group(&self.state, &self.client, key).await;
             result.verdict
         };
         *cell.get_or_init(|| probe).await
@@ -109,14 +109,14 @@
 
     /// Probes the head of a group from this node, after the node at `links` has found the group sound.
     async fn can_reach_head(&self, links: SocketAddr, key: &GroupKey) -> bool {
-        let probe = watch::probe_head(&self.beliefs, &self.client, key).await;
+        let probe = watch::probe_head(&self.state, &self.client, key).await;
         let is_sound = matches!(probe, MemberProbe::Member(_));
         let verdict = if is_sound {
             Verdict::Sound
         } else {
             Verdict::HeadSilent
         };
-        self.beliefs.events.write(&Event::GroupExamined {
+        self.state.events.write(&Event::GroupExamined {
             group: &key.to_string(),
             verdict: &verdict.to_string(),
             finding: &format!("sound for the node at {links}; head {probe}"),
--- a/crates/sesamecart-entry/src/exchange.rs
+++ b/crates/sesamecart-entry/src/exchange.rs
@@ -18,7 +18,7 @@
 use sesamecart_runtime::{Tasks, sleep, within};
 use sesamecart_vocabulary::{EndpointId, NodeId, Timestamp};
 
-use crate::beliefs::Beliefs;
+use crate::beliefs::EntryState;
 use crate::clock;
 use crate::events::Event;
 pub(crate) use crate::exchange::changes::{Changes, changes};
@@ -53,23 +53,19 @@
 }
 
 /// Watches the loads of peer nodes until the task is cancelled.
-pub(crate) async fn watch_peers(beliefs: Arc<Beliefs>, links: Links, tasks: Tasks) {
+pub(crate) async fn watch_peers(state: Arc<EntryState>, links: Links, tasks: Tasks) {
     let mut watched = WatchedPeers::default();
     loop {
-        let nodes = beliefs.nodes.load_full();
-        let gone = watched.gone(&beliefs);
+        let nodes = state.nodes.load_full();
+        let gone = watched.gone(&state);
         let others = nodes.len().saturating_sub(1 + gone.len());
-        beliefs.loads().set_others(others);
-        for peer in peers_to_watch(&beliefs.settings.node, &nodes, &gone) {
+        state.loads().set_others(others);
+        for peer in peers_to_watch(&state.settings.node, &nodes, &gone) {
             // A node that is added later may be nearer; peers that are already watched stay watched.
             let has_capacity = watched.0.len() < MAX_WATCHED_PEERS + gone.len();
             if has_capacity && !watched.0.contains_key(&peer.node) {
                 watched.0.insert(peer.node.clone(), clock::now());
-                tasks.spawn(watch_peer(
-                    Arc::clone(&beliefs),
-                    links.clone(),
-                    peer.clone(),
-                ));
+                tasks.spawn(watch_peer(Arc::clone(&state), links.clone(), peer.clone()));
             }
         }
         sleep(NODES_REFRESH_INTERVAL).await;
@@ -86,9 +82,9 @@
     /// The list of nodes also contains nodes that were replaced. If these counted as unreachable peers, each
     /// would add its share to the estimated load of every head, and callers would be refused while slots are
     /// free.
-    fn gone(&mut self, beliefs: &Beliefs) -> IndexSet<NodeId> {
+    fn gone(&mut self, state: &EntryState) -> IndexSet<NodeId> {
         let now = clock::now();
-        let loads = beliefs.loads();
+        let loads = state.loads();
         for (node, last_reported_at) in &mut self.0 {
             if loads.is_reporting(node) {
                 *last_reported_at = now;
@@ -102,13 +98,13 @@
 }
 
 /// Watches the loads of one peer and reconnects whenever the stream ends.
-async fn watch_peer(beliefs: Arc<Beliefs>, links: Links, peer: PeerNode) {
+async fn watch_peer(state: Arc<EntryState>, links: Links, peer: PeerNode) {
     let mut reachability = PeerReachability::new(&peer.node);
     loop {
-        let cause = receive_loads(&beliefs, &links, &peer, &mut reachability).await;
-        beliefs.loads().drop_peer(&peer.node);
-        beliefs.demand().drop_peer(&peer.node);
-        reachability.mark_lost(&beliefs, &cause);
+        let cause = receive_loads(&state, &links, &peer, &mut reachability).await;
+        state.loads().drop_peer(&peer.node);
+        state.demand().drop_peer(&peer.node);
+        reachability.mark_lost(&state, &cause);
         sleep(RECONNECT_DELAY).await;
     }
 }
@@ -130,23 +126,23 @@
         }
     }
 
-    fn mark_reachable(&mut self, beliefs: &Beliefs) {
+    fn mark_reachable(&mut self, state: &EntryState) {
         self.was_reachable = true;
         let Some(lost_at) = self.lost_at.take() else {
             return;
         };
-        beliefs.events.write(&Event::DependencyRegained {
+        state.events.write(&Event::DependencyRegained {
             dependency: &self.dependency,
             away_ms: millis(clock::now().since(lost_at)),
         });
     }
 
-    fn mark_lost(&mut self, beliefs: &Beliefs, cause: &str) {
+    fn mark_lost(&mut self, state: &EntryState, cause: &str) {
         if !self.was_reachable || self.lost_at.is_some() {
             return;
         }
         self.lost_at = Some(clock::now());
-        beliefs.events.write(&Event::DependencyLost {
+        state.events.write(&Event::DependencyLost {
             dependency: &self.dependency,
             cause,
         });
@@ -155,7 +151,7 @@
 
 /// Receives a peer's loads until the stream fails; returns the cause.
 async fn receive_loads(
-    beliefs: &Beliefs,
+    state: &EntryState,
     links: &Links,
     peer: &PeerNode,
     reachability: &mut PeerReachability,
@@ -173,13 +169,13 @@
             Ok(Err(status)) => return status.to_string(),
             Err(elapsed) => return elapsed.to_string(),
         };
-        reachability.mark_reachable(beliefs);
+        reachability.mark_reachable(state);
         if !next.demand.is_empty() {
             let demand = parse_demand(&next.demand);
             let now = clock::now();
-            beliefs.demand().apply_peer_demand(now, &peer.node, demand);
+            state.demand().apply_peer_demand(now, &peer.node, demand);
         }
-        let mut loads = beliefs.loads();
+        let mut loads = state.loads();
         loads.mark_reporting(&peer.node);
         for head in next.heads {
             if !head.endpoint.is_empty() {
--- a/crates/sesamecart-entry/src/exchange/changes.rs
+++ b/crates/sesamecart-entry/src/exchange/changes.rs
@@ -14,7 +14,7 @@
 use sesamecart_vocabulary::{EndpointId, Timestamp};
 
 use super::MILLI_GROUPS_PER_GROUP;
-use crate::beliefs::Beliefs;
+use crate::beliefs::EntryState;
 use crate::clock;
 use crate::follower::millis;
 
@@ -32,17 +32,17 @@
 pub(crate) type Changes = Pin<Box<dyn Stream<Item = Result<LoadChanges, Status>> + Send>>;
 
 /// Returns the changes of this node's loads as they occur.
-pub(crate) fn changes(beliefs: Arc<Beliefs>) -> Changes {
-    let state = (beliefs, SentState::default());
-    let changes = stream::unfold(state, |(beliefs, mut sent)| async move {
+pub(crate) fn changes(state: Arc<EntryState>) -> Changes {
+    let initial = (state, SentState::default());
+    let changes = stream::unfold(initial, |(state, mut sent)| async move {
         sleep(BATCH_DELAY).await;
-        let changed = beliefs.loads_changed.listen();
-        let mut next = sent.changes(&beliefs);
+        let changed = state.loads_changed.listen();
+        let mut next = sent.changes(&state);
         if next.heads.is_empty() && next.demand.is_empty() {
             future::or(changed, sleep(KEEPALIVE_INTERVAL)).await;
-            next = sent.changes(&beliefs);
+            next = sent.changes(&state);
         }
-        Some((Ok(next), (beliefs, sent)))
+        Some((Ok(next), (state, sent)))
     });
     Box::pin(changes)
 }
@@ -63,16 +63,16 @@
 
 impl SentState {
     /// Returns what has changed since the last call.
-    fn changes(&mut self, beliefs: &Beliefs) -> LoadChanges {
+    fn changes(&mut self, state: &EntryState) -> LoadChanges {
         LoadChanges {
-            heads: self.changed_heads(beliefs),
-            demand: self.due_demand(beliefs),
+            heads: self.changed_heads(state),
+            demand: self.due_demand(state),
         }
     }
 
-    fn changed_heads(&mut self, beliefs: &Beliefs) -> Vec<HeadLoad> {
+    fn changed_heads(&mut self, state: &EntryState) -> Vec<HeadLoad> {
         let now = clock::now();
-        let current = CurrentLoads::snapshot(beliefs);
+        let current = CurrentLoads::snapshot(state);
         let known = self
             .heads
             .keys()
@@ -113,13 +113,13 @@
     }
 
     /// Returns the demand of this node's callers if `DEMAND_INTERVAL` has passed since it was last sent.
-    fn due_demand(&mut self, beliefs: &Beliefs) -> Vec<ModelDemand> {
+    fn due_demand(&mut self, state: &EntryState) -> Vec<ModelDemand> {
         let now = clock::now();
         if now.since(self.demand_sent_at) < DEMAND_INTERVAL {
             return Vec::new();
         }
         self.demand_sent_at = now;
-        let demand = beliefs.demand().own(now);
+        let demand = state.demand().own(now);
         let models = demand.iter().map(|(model, groups)| ModelDemand {
             model: model.to_string(),
             milli_groups: (groups * MILLI_GROUPS_PER_GROUP).round() as u32,
@@ -135,9 +135,9 @@
 }
 
 impl CurrentLoads {
-    fn snapshot(beliefs: &Beliefs) -> Self {
-        let directory = beliefs.directory.load();
-        let loads = beliefs.loads();
+    fn snapshot(state: &EntryState) -> Self {
+        let directory = state.directory.load();
+        let loads = state.loads();
         let own = loads.own().filter(|(id, _)| is_in_group(&directory, id));
         let reports = loads.own_reports();
         let reports = reports.filter(|(id, _, _)| is_in_group(&directory, id));
--- a/crates/sesamecart-entry/src/feed/server.rs
+++ b/crates/sesamecart-entry/src/feed/server.rs
@@ -14,34 +14,34 @@
 use sesamecart_platform::Store;
 use sesamecart_runtime::{ByteCount, Tasks, sleep};
 
-use crate::beliefs::Beliefs;
+use crate::beliefs::EntryState;
 use crate::clock;
-use crate::examinations::Examinations;
+use crate::examinations::GroupProber;
 use crate::exchange::{self, Changes};
 use crate::feed::has_updates;
 use crate::follower::millis;
-use crate::losses::{parse_group, report_to_store};
+use crate::losses::{parse_group_key, report_to_store};
 
 /// The longest time for which a follower's call is held: twice what followers request, and half of the 2 s
 /// after which a link cancels a call.
 const MAX_WAIT: Duration = Duration::from_secs(1);
 
 struct FeedHandler {
-    beliefs: Arc<Beliefs>,
+    state: Arc<EntryState>,
     store: Store,
-    examinations: Examinations,
+    examinations: GroupProber,
 }
 
 /// Serves the calls of followers until the task is cancelled.
 pub(crate) async fn serve(
-    beliefs: Arc<Beliefs>,
+    state: Arc<EntryState>,
     store: Store,
-    examinations: Examinations,
+    examinations: GroupProber,
     listener: TcpListener,
     tasks: Tasks,
 ) {
     let handler = FeedHandler {
-        beliefs,
+        state,
         store,
         examinations,
     };
@@ -53,17 +53,17 @@
 
 impl FeedHandler {
     fn reply_to(&self, req: &FollowRequest) -> Result<FollowReply, Status> {
-        if self.beliefs.is_leaving() {
+        if self.state.is_leaving() {
             return Err(Status::unavailable("the node is leaving"));
         }
-        if !self.beliefs.reads_store() {
+        if !self.state.reads_store() {
             return Err(Status::failed_precondition(
                 "the node doesn't read the store",
             ));
         }
         let not_read_yet = || Status::not_found("the node has read nothing yet");
-        let age = self.beliefs.configuration_age().ok_or_else(not_read_yet)?;
-        let reply = self.beliefs.feed.reply_to(clock::now(), req);
+        let age = self.state.configuration_age().ok_or_else(not_read_yet)?;
+        let reply = self.state.feed.reply_to(clock::now(), req);
         let mut reply = reply.ok_or_else(not_read_yet)?;
         reply.vouched_ms = millis(age).saturating_add(1);
         Ok(reply)
@@ -80,7 +80,7 @@
         let wait = Duration::from_millis(req.wait_ms.into()).min(MAX_WAIT);
         let deadline = clock::now() + wait;
         loop {
-            let changed = self.beliefs.feed.listen();
+            let changed = self.state.feed.listen();
             let reply = self.reply_to(&req)?;
             let remaining = deadline.since(clock::now());
             if remaining.is_zero() || has_updates(&reply) {
@@ -104,8 +104,8 @@
     async fn report_loss(&self, request: Request<GroupLoss>) -> Result<Response<Noted>, Status> {
         let key = decode_group(&request)?;
         // Many followers detect the same loss at once, and one report to the controller is enough.
-        if self.beliefs.note_reported(&key) {
-            report_to_store(&self.beliefs, &self.store, &key).await;
+        if self.state.mark_loss_reported(&key) {
+            report_to_store(&self.state, &self.store, &key).await;
         }
         Ok(Response::new(Noted {}))
     }
@@ -116,18 +116,18 @@
         &self,
         _request: Request<WatchLoadsRequest>,
     ) -> Result<Response<Changes>, Status> {
-        Ok(Response::new(exchange::changes(Arc::clone(&self.beliefs))))
+        Ok(Response::new(exchange::changes(Arc::clone(&self.state))))
     }
 
     async fn announce_loss(&self, request: Request<GroupLoss>) -> Result<Response<Noted>, Status> {
         let key = decode_group(&request)?;
-        self.beliefs.lose_group(&key);
-        self.beliefs.feed.note_loss(clock::now(), &key);
+        self.state.mark_group_lost(&key);
+        self.state.feed.note_loss(clock::now(), &key);
         Ok(Response::new(Noted {}))
     }
 }
 
 fn decode_group(req: &Request<GroupLoss>) -> Result<GroupKey, Status> {
-    parse_group(&req.get_ref().group)
+    parse_group_key(&req.get_ref().group)
         .ok_or_else(|| Status::invalid_argument("the group isn't of the form name@epoch"))
 }
--- a/crates/sesamecart-entry/src/follower.rs
+++ b/crates/sesamecart-entry/src/follower.rs
@@ -15,7 +15,7 @@
 use sesamecart_runtime::sleep;
 use sesamecart_vocabulary::Timestamp;
 
-use crate::beliefs::Beliefs;
+use crate::beliefs::EntryState;
 use crate::clock;
 use crate::events::Event;
 use crate::follower::operator::OperatorState;
@@ -65,25 +65,25 @@
         }
     }
 
-    pub(crate) fn failed(&mut self, beliefs: &Beliefs, cause: &StoreError) {
-        beliefs.metrics.count_store_failure();
+    pub(crate) fn failed(&mut self, state: &EntryState, cause: &StoreError) {
+        state.metrics.count_store_failure();
         if self.unavailable_since.is_some() {
             return;
         }
         self.unavailable_since = Some(clock::now());
         let cause = cause.to_string();
-        beliefs.events.write(&Event::DependencyLost {
+        state.events.write(&Event::DependencyLost {
             dependency: self.name,
             cause: &cause,
         });
     }
 
     /// Records a successful call. Returns whether the dependency was unavailable before it.
-    pub(crate) fn answered(&mut self, beliefs: &Beliefs) -> bool {
+    pub(crate) fn answered(&mut self, state: &EntryState) -> bool {
         let Some(unavailable_since) = self.unavailable_since.take() else {
             return false;
         };
-        beliefs.events.write(&Event::DependencyRegained {
+        state.events.write(&Event::DependencyRegained {
             dependency: self.name,
             away_ms: millis(clock::now().since(unavailable_since)),
         });
@@ -103,11 +103,11 @@
 
 /// Follows one compacted topic of the store, which keeps the newest record of each key.
 struct TopicFollower<'a> {
-    beliefs: &'a Beliefs,
+    state: &'a EntryState,
     store: &'a Store,
     topic: Topic,
     dependency: &'a mut Dependency,
-    state: TopicState<'a>,
+    topic_state: TopicState<'a>,
 }
 
 impl TopicFollower<'_> {
@@ -117,7 +117,7 @@
             match self.read_snapshot().await {
                 Ok(from) => self.follow(from, timeout).await,
                 Err(error) => {
-                    self.dependency.failed(self.beliefs, &error);
+                    self.dependency.failed(self.state, &error);
                     sleep(RETRY_DELAY).await;
                 }
             }
@@ -149,9 +149,9 @@
             records.extend(page.records);
             next = page.next;
         }
-        let was_unavailable = self.dependency.answered(self.beliefs);
+        let was_unavailable = self.dependency.answered(self.state);
         if was_unavailable {
-            self.beliefs.feed.record_recovery(clock::now());
+            self.state.feed.record_recovery(clock::now());
         }
         self.publish_snapshot(&records, first.end);
         let records = records.into_iter().map(|stored| stored.record);
@@ -167,14 +167,14 @@
             let sent = clock::now();
             match self.store.read(self.topic, from, poll_timeout).await {
                 Ok(Read::Records { next, end, records }) => {
-                    let was_unavailable = self.dependency.answered(self.beliefs);
+                    let was_unavailable = self.dependency.answered(self.state);
                     if end < from {
                         return;
                     }
                     if was_unavailable {
                         self.record_recovery();
                     }
-                    self.beliefs.feed.apply(self.topic, &records, next);
+                    self.state.feed.apply(self.topic, &records, next);
                     self.apply(records);
                     from = next;
                     if next >= end {
@@ -183,7 +183,7 @@
                 }
                 Ok(Read::Trimmed { .. }) => return,
                 Err(error) => {
-                    self.dependency.failed(self.beliefs, &error);
+                    self.dependency.failed(self.state, &error);
                     sleep(RETRY_DELAY).await;
                     if self.is_unavailable_for(timeout) {
                         return;
@@ -197,13 +197,13 @@
     /// Returns the long-poll timeout of the next read and the interval after it.
     fn read_timing(&self) -> (Duration, Duration) {
         let configuration_bound =
-            Duration::from_millis(self.beliefs.settings.bounds.configuration_ms);
-        match self.state {
+            Duration::from_millis(self.state.settings.bounds.configuration_ms);
+        match self.topic_state {
             TopicState::Operator(_) => (
                 configuration_bound.mul_f64(OPERATOR_POLL_TIMEOUT_FRACTION),
                 MIN_READ_INTERVAL,
             ),
-            TopicState::Registry(_) if self.beliefs.is_forming() => {
+            TopicState::Registry(_) if self.state.is_forming() => {
                 (FORMING_POLL_TIMEOUT, FORMING_MIN_READ_INTERVAL)
             }
             TopicState::Registry(_) => (REGISTRY_POLL_TIMEOUT, MIN_READ_INTERVAL),
@@ -211,10 +211,10 @@
     }
 
     fn publish_snapshot(&self, records: &[StoredRecord], end: Offset) {
-        let Some(summary) = self.beliefs.feed.replace(self.topic, records, end) else {
+        let Some(summary) = self.state.feed.replace(self.topic, records, end) else {
             return;
         };
-        self.beliefs.events.write(&Event::TopicReread {
+        self.state.events.write(&Event::TopicReread {
             topic: &self.topic.to_string(),
             known_to: summary.previous_end.0,
             end: end.0,
@@ -225,46 +225,46 @@
     }
 
     fn replace(&mut self, records: Vec<Record>, was_unavailable: bool) {
-        match &mut self.state {
-            TopicState::Operator(state) => {
-                state.replace(self.beliefs, &records, &IndexSet::new());
+        match &mut self.topic_state {
+            TopicState::Operator(operator) => {
+                operator.replace(self.state, &records, &IndexSet::new());
             }
-            TopicState::Registry(state) => {
+            TopicState::Registry(registry) => {
                 if was_unavailable {
-                    state.recovered_at = Some(clock::now());
+                    registry.recovered_at = Some(clock::now());
                 }
-                state.replace(self.beliefs, &records, &IndexSet::new());
+                registry.replace(self.state, &records, &IndexSet::new());
             }
         }
     }
 
     fn apply(&mut self, records: Vec<Record>) {
-        match &mut self.state {
-            TopicState::Operator(state) => state.apply(self.beliefs, &records),
-            TopicState::Registry(state) => state.apply(self.beliefs, &records),
+        match &mut self.topic_state {
+            TopicState::Operator(operator) => operator.apply(self.state, &records),
+            TopicState::Registry(registry) => registry.apply(self.state, &records),
         }
     }
 
     fn record_recovery(&mut self) {
-        self.beliefs.feed.record_recovery(clock::now());
-        if let TopicState::Registry(state) = &mut self.state {
-            state.recovered_at = Some(clock::now());
+        self.state.feed.record_recovery(clock::now());
+        if let TopicState::Registry(registry) = &mut self.topic_state {
+            registry.recovered_at = Some(clock::now());
         }
     }
 
     fn confirm_freshness(&self, sent: Timestamp) {
-        match &self.state {
+        match &self.topic_state {
             // Without a configuration there is nothing whose freshness could be confirmed.
-            TopicState::Operator(_) if self.beliefs.catalog.load().is_none() => {}
-            TopicState::Operator(_) => self.beliefs.confirm_freshness(sent),
-            TopicState::Registry(_) => self.beliefs.note_registry_read(),
+            TopicState::Operator(_) if self.state.catalog.load().is_none() => {}
+            TopicState::Operator(_) => self.state.confirm_configuration(sent),
+            TopicState::Registry(_) => self.state.set_registry_read(),
         }
     }
 }
 
-fn log_ignored_record(beliefs: &Beliefs, topic: Topic, key: &str, cause: &str) {
+fn log_ignored_record(state: &EntryState, topic: Topic, key: &str, cause: &str) {
     let topic = topic.to_string();
-    beliefs.events.write(&Event::RecordIgnored {
+    state.events.write(&Event::RecordIgnored {
         topic: &topic,
         key,
         cause,
--- a/crates/sesamecart-entry/src/follower/nodes.rs
+++ b/crates/sesamecart-entry/src/follower/nodes.rs
@@ -10,7 +10,7 @@
 use sesamecart_vocabulary::NodeId;
 
 use super::{Dependency, RETRY_DELAY, log_ignored_record};
-use crate::beliefs::Beliefs;
+use crate::beliefs::EntryState;
 
 #[cfg(test)]
 mod tests;
@@ -42,22 +42,22 @@
     }
 
     /// Registers this node and reads the list of nodes.
-    pub(super) async fn register(&mut self, beliefs: &Beliefs, store: &Store) {
-        let own = beliefs.own_entry();
-        if beliefs.settings.first_start {
+    pub(super) async fn register(&mut self, state: &EntryState, store: &Store) {
+        let own = state.local_peer();
+        if state.settings.first_start {
             // No node can have registered before the first start, so there is nothing to read yet.
-            while !self.publish_entry(beliefs, store, &own).await {
+            while !self.publish_entry(state, store, &own).await {
                 sleep(RETRY_DELAY).await;
             }
             sleep(PEER_REGISTRATION_WAIT).await;
-            let _nodes = self.read(beliefs, store).await;
+            let _nodes = self.read(state, store).await;
             return;
         }
         loop {
-            match self.read(beliefs, store).await {
+            match self.read(state, store).await {
                 // The entry from before this process restarted is still valid.
                 Some(nodes) if nodes.contains(&own) => return,
-                Some(_) if self.publish_entry(beliefs, store, &own).await => return,
+                Some(_) if self.publish_entry(state, store, &own).await => return,
                 _ => sleep(RETRY_DELAY).await,
             }
         }
@@ -68,38 +68,38 @@
     /// Limits that apply to all nodes together are divided among the nodes, so each node has to know their
     /// number. A node that was killed stays in the list, which can make the shares only smaller, never
     /// larger.
-    pub(super) async fn run(&mut self, beliefs: &Beliefs, store: &Store) {
+    pub(super) async fn run(&mut self, state: &EntryState, store: &Store) {
         // This node serves its followers only after it has read all topics.
-        let mut next = match beliefs.feed.has_read(Topic::Nodes) {
+        let mut next = match state.feed.has_read(Topic::Nodes) {
             true => FIRST_REREAD_DELAY,
             false => Duration::ZERO,
         };
         loop {
             sleep(next).await;
-            next = match self.read(beliefs, store).await {
+            next = match self.read(state, store).await {
                 Some(_) => NODES_READ_INTERVAL,
                 None => RETRY_DELAY,
             };
         }
     }
 
-    async fn read(&mut self, beliefs: &Beliefs, store: &Store) -> Option<Vec<PeerNode>> {
+    async fn read(&mut self, state: &EntryState, store: &Store) -> Option<Vec<PeerNode>> {
         match read_nodes(store).await {
             Ok(page) => {
-                let _was_unavailable = self.dependency.answered(beliefs);
-                let _summary = beliefs.feed.replace(Topic::Nodes, &page.records, page.end);
+                let _was_unavailable = self.dependency.answered(state);
+                let _summary = state.feed.replace(Topic::Nodes, &page.records, page.end);
                 let records = page.records.into_iter().map(|stored| stored.record);
                 let records: Vec<Record> = records.collect();
-                Some(replace_nodes(beliefs, &records, &IndexSet::new()))
+                Some(replace_nodes(state, &records, &IndexSet::new()))
             }
             Err(error) => {
-                self.dependency.failed(beliefs, &error);
+                self.dependency.failed(state, &error);
                 None
             }
         }
     }
 
-    async fn publish_entry(&mut self, beliefs: &Beliefs, store: &Store, own: &PeerNode) -> bool {
+    async fn publish_entry(&mut self, state: &EntryState, store: &Store, own: &PeerNode) -> bool {
         let value = match serde_json::to_vec(own) {
             Ok(value) => value,
             Err(error) => {
@@ -115,7 +115,7 @@
             .append(Topic::Nodes, &record, Expected::Anything)
             .await;
         if let Err(error) = &appended {
-            self.dependency.failed(beliefs, error);
+            self.dependency.failed(state, error);
         }
         appended.is_ok()
     }
@@ -124,40 +124,40 @@
 /// Replaces the list with `records` and with the known nodes whose keys are in `unchanged`. Returns the nodes
 /// decoded from `records`.
 pub(super) fn replace_nodes(
-    beliefs: &Beliefs,
+    state: &EntryState,
     records: &[Record],
     unchanged: &IndexSet<String>,
 ) -> Vec<PeerNode> {
-    merge(beliefs, records, |node| unchanged.contains(node.as_str()))
+    merge(state, records, |node| unchanged.contains(node.as_str()))
 }
 
 /// Applies changed records to the list.
-pub(super) fn apply_nodes(beliefs: &Beliefs, records: &[Record]) {
+pub(super) fn apply_nodes(state: &EntryState, records: &[Record]) {
     let changed: IndexSet<&str> = records
         .iter()
         .filter_map(|record| record.key.as_deref())
         .collect();
-    merge(beliefs, records, |node| !changed.contains(node.as_str()));
+    merge(state, records, |node| !changed.contains(node.as_str()));
 }
 
 fn merge(
-    beliefs: &Beliefs,
+    state: &EntryState,
     records: &[Record],
     is_kept: impl Fn(&NodeId) -> bool,
 ) -> Vec<PeerNode> {
-    let decoded = decode_nodes(beliefs, records);
-    let known = beliefs.nodes.load();
+    let decoded = decode_nodes(state, records);
+    let known = state.nodes.load();
     let kept = known.iter().filter(|peer| is_kept(&peer.node));
-    let own = beliefs.own_entry();
+    let own = state.local_peer();
     let all = kept.chain(&decoded).chain([&own]);
     let mut nodes: IndexMap<&NodeId, &PeerNode> = all.map(|peer| (&peer.node, peer)).collect();
     nodes.sort_unstable_keys();
     let nodes = nodes.into_values().cloned().collect();
-    beliefs.nodes.store(Arc::new(nodes));
+    state.nodes.store(Arc::new(nodes));
     decoded
 }
 
-fn decode_nodes(beliefs: &Beliefs, records: &[Record]) -> Vec<PeerNode> {
+fn decode_nodes(state: &EntryState, records: &[Record]) -> Vec<PeerNode> {
     let mut nodes = Vec::with_capacity(records.len());
     for record in records {
         let (Some(key), Some(value)) = (&record.key, &record.value) else {
@@ -165,7 +165,7 @@
         };
         match serde_json::from_slice::<PeerNode>(value) {
             Ok(peer) => nodes.push(peer),
-            Err(error) => log_ignored_record(beliefs, Topic::Nodes, key, &error.to_string()),
+            Err(error) => log_ignored_record(state, Topic::Nodes, key, &error.to_string()),
         }
     }
     nodes
--- a/crates/sesamecart-entry/src/follower/nodes/tests.rs
+++ b/crates/sesamecart-entry/src/follower/nodes/tests.rs
@@ -4,10 +4,10 @@
 use sesamecart_platform::{Offset, Record, StoredRecord, Topic};
 use sesamecart_vocabulary::Timestamp;
 
-use crate::beliefs::Beliefs;
+use crate::beliefs::EntryState;
 use crate::feed::Feed;
 use crate::follower::peer::update_nodes;
-use crate::testkit::beliefs;
+use crate::testkit::new_state;
 
 const NOW: Timestamp = Timestamp(10_000_000);
 
@@ -34,7 +34,7 @@
 }
 
 /// Requests the changes of the list from offset `next`, applies them, and returns the next offset.
-fn sync_nodes(beliefs: &Beliefs, feed: &Feed, next: u64) -> u64 {
+fn sync_nodes(state: &EntryState, feed: &Feed, next: u64) -> u64 {
     let req = FollowRequest {
         nodes_next: next,
         ..FollowRequest::default()
@@ -42,12 +42,12 @@
     let reply = feed.reply_to(NOW, &req).expect("the feed is serving");
     let part = reply.nodes.expect("the reply contains the list of nodes");
     let next = part.next;
-    update_nodes(beliefs, part);
+    update_nodes(state, part);
     next
 }
 
-fn known(beliefs: &Beliefs) -> Vec<String> {
-    let nodes = beliefs.nodes.load();
+fn known(state: &EntryState) -> Vec<String> {
+    let nodes = state.nodes.load();
     nodes.iter().map(|peer| peer.node.to_string()).collect()
 }
 
@@ -60,18 +60,18 @@
         let _summary = feed.replace(topic, &[], Offset(0));
     }
     read_list(&feed, &["n1", "n2", "n3"]);
-    let beliefs = beliefs(true);
-    let next = sync_nodes(&beliefs, &feed, 0);
-    assert_eq!(known(&beliefs), ["n1", "n2", "n3"]);
+    let state = new_state(true);
+    let next = sync_nodes(&state, &feed, 0);
+    assert_eq!(known(&state), ["n1", "n2", "n3"]);
     read_list(&feed, &["n1", "n2", "n3", "n4"]);
-    sync_nodes(&beliefs, &feed, next);
-    assert_eq!(known(&beliefs), ["n1", "n2", "n3", "n4"]);
+    sync_nodes(&state, &feed, next);
+    assert_eq!(known(&state), ["n1", "n2", "n3", "n4"]);
 }
 
 /// Guards against a node that stays in the list forever after its entry was dropped.
 #[test]
 fn nodes_neither_changed_nor_unchanged_are_removed() {
-    let beliefs = beliefs(true);
+    let state = new_state(true);
     let records = |nodes: &[&str]| {
         let entries = nodes.iter().copied().map(entry);
         let records = entries.map(|record| KeyedRecord {
@@ -85,7 +85,7 @@
         whole: true,
         ..TopicPart::default()
     };
-    update_nodes(&beliefs, whole);
+    update_nodes(&state, whole);
     let changed = TopicPart {
         records: records(&["n4"]),
         unchanged: Some(UnchangedKeys {
@@ -93,6 +93,6 @@
         }),
         ..TopicPart::default()
     };
-    update_nodes(&beliefs, changed);
-    assert_eq!(known(&beliefs), ["n1", "n3", "n4"]);
+    update_nodes(&state, changed);
+    assert_eq!(known(&state), ["n1", "n3", "n4"]);
 }
--- a/crates/sesamecart-entry/src/follower/operator.rs
+++ b/crates/sesamecart-entry/src/follower/operator.rs
@@ -10,7 +10,7 @@
 use sesamecart_vocabulary::FailureDomainId;
 
 use super::log_ignored_record;
-use crate::beliefs::Beliefs;
+use crate::beliefs::EntryState;
 use crate::events::Event;
 
 /// The failure domains that the operator has evacuated.
@@ -24,7 +24,7 @@
     /// has.
     pub(super) fn replace(
         &mut self,
-        beliefs: &Beliefs,
+        state: &EntryState,
         records: &[Record],
         unchanged: &IndexSet<String>,
     ) {
@@ -34,17 +34,17 @@
         let evacuated: IndexSet<_> = present.filter_map(evacuated_domain).collect();
         if evacuated != self.evacuated {
             self.evacuated = evacuated;
-            publish_evacuated(beliefs, &self.evacuated);
+            publish_evacuated(state, &self.evacuated);
         }
         for record in records {
-            apply_configuration(beliefs, record);
+            apply_configuration(state, record);
         }
     }
 
-    pub(super) fn apply(&mut self, beliefs: &Beliefs, records: &[Record]) {
+    pub(super) fn apply(&mut self, state: &EntryState, records: &[Record]) {
         for record in records {
             let Some(key) = record.key.as_deref() else {
-                log_ignored_record(beliefs, Topic::Operator, "", "the key is unreadable");
+                log_ignored_record(state, Topic::Operator, "", "the key is unreadable");
                 continue;
             };
             if let Some(domain) = evacuated_domain(key) {
@@ -53,30 +53,30 @@
                 } else {
                     self.evacuated.shift_remove(&domain);
                 }
-                publish_evacuated(beliefs, &self.evacuated);
+                publish_evacuated(state, &self.evacuated);
             } else {
-                apply_configuration(beliefs, record);
+                apply_configuration(state, record);
             }
         }
     }
 }
 
-fn publish_evacuated(beliefs: &Beliefs, evacuated: &IndexSet<FailureDomainId>) {
-    beliefs.directory.rcu(|directory| {
+fn publish_evacuated(state: &EntryState, evacuated: &IndexSet<FailureDomainId>) {
+    state.directory.rcu(|directory| {
         let mut directory = Directory::clone(directory);
         directory.set_evacuated(evacuated.clone());
         directory
     });
-    beliefs.metrics.record_evacuated(evacuated.len());
+    state.metrics.record_evacuated(evacuated.len());
     let names: Vec<String> = evacuated.iter().map(ToString::to_string).collect();
-    beliefs.events.write(&Event::EvacuationChanged {
+    state.events.write(&Event::EvacuationChanged {
         failure_domains: &names,
     });
 }
 
 /// Applies a configuration unless the current version is the same or newer: a reread or a delayed reply must
 /// not restore a revoked key.
-fn apply_configuration(beliefs: &Beliefs, record: &Record) {
+fn apply_configuration(state: &EntryState, record: &Record) {
     let (Some(key), Some(value)) = (record.key.as_deref(), record.value.as_deref()) else {
         return;
     };
@@ -85,25 +85,25 @@
     }
     let catalog = match decode_configuration(value) {
         Ok(catalog) => catalog,
-        Err(error) => return log_ignored_record(beliefs, Topic::Operator, key, &error.to_string()),
+        Err(error) => return log_ignored_record(state, Topic::Operator, key, &error.to_string()),
     };
-    let in_force = beliefs.catalog.load_full();
+    let in_force = state.catalog.load_full();
     let before = in_force.map(|catalog| catalog.version);
     if before.is_some_and(|before| before >= catalog.version) {
         return;
     }
-    beliefs.events.write(&Event::ConfigurationApplied {
+    state.events.write(&Event::ConfigurationApplied {
         version: catalog.version.0,
         before: before.map_or(0, |version| version.0),
         routes: catalog.route_count(),
     });
-    log_new_problems(beliefs, &catalog);
-    beliefs.catalog.store(Some(Arc::new(catalog)));
+    log_new_problems(state, &catalog);
+    state.catalog.store(Some(Arc::new(catalog)));
 }
 
 /// Logs the problems of `catalog` that the current configuration doesn't have.
-fn log_new_problems(beliefs: &Beliefs, catalog: &Catalog) {
-    let in_force = beliefs.catalog.load_full();
+fn log_new_problems(state: &EntryState, catalog: &Catalog) {
+    let in_force = state.catalog.load_full();
     for (id, service) in &catalog.services {
         let Some(spec) = &service.engine else {
             continue;
@@ -117,7 +117,7 @@
             if known.contains(&problem) {
                 continue;
             }
-            beliefs.events.write(&Event::ConfigurationDoubtful {
+            state.events.write(&Event::ConfigurationDoubtful {
                 service: id.as_str(),
                 problem: &problem.to_string(),
             });
--- a/crates/sesamecart-entry/src/follower/peer.rs
+++ b/crates/sesamecart-entry/src/follower/peer.rs
@@ -15,10 +15,10 @@
 use super::RETRY_DELAY;
 use super::nodes::{apply_nodes, replace_nodes};
 use super::source_follower::{Following, PREFERRED_PROBE_INTERVAL, SwitchReason};
-use crate::beliefs::Beliefs;
+use crate::beliefs::EntryState;
 use crate::clock;
 use crate::events::Event;
-use crate::losses::parse_group;
+use crate::losses::parse_group_key;
 
 /// How long the other node holds a call while there are no updates.
 ///
@@ -88,7 +88,7 @@
     /// Follows the node at `links` until it fails, becomes stale, or a preferred source serves again.
     pub(super) async fn follow_node(&mut self, links: SocketAddr) -> SwitchReason {
         let configuration_bound =
-            Duration::from_millis(self.beliefs.settings.bounds.configuration_ms);
+            Duration::from_millis(self.state.settings.bounds.configuration_ms);
         let max_age = configuration_bound.mul_f64(MAX_AGE_FRACTION);
         let first_read_timeout = configuration_bound.mul_f64(FIRST_READ_TIMEOUT_FRACTION);
         let started_at = clock::now();
@@ -165,7 +165,7 @@
         let (Some(operator), Some(registry)) = (&reply.operator, &reply.registry) else {
             return;
         };
-        self.beliefs.events.write(&Event::CaughtUp {
+        self.state.events.write(&Event::CaughtUp {
             source: &Source::Node(links).to_string(),
             operator_from: self.position.operator,
             operator_next: operator.next,
@@ -207,12 +207,12 @@
         // a safe lower bound.
         let age = Duration::from_millis(reply.vouched_ms);
         let age = u64::try_from(age.as_micros()).unwrap_or(u64::MAX);
-        self.beliefs
-            .confirm_freshness(Timestamp(sent.0.saturating_sub(age)));
-        self.beliefs.note_registry_read();
+        self.state
+            .confirm_configuration(Timestamp(sent.0.saturating_sub(age)));
+        self.state.set_registry_read();
         for group in &reply.losses {
-            match parse_group(group) {
-                Some(key) => self.beliefs.lose_group(&key),
+            match parse_group_key(group) {
+                Some(key) => self.state.mark_group_lost(&key),
                 None => log::warn!("follower: invalid group in a loss: {group}."),
             }
         }
@@ -220,33 +220,33 @@
     }
 
     fn apply_topics(&mut self, operator: TopicPart, registry: TopicPart, nodes: TopicPart) {
-        let beliefs = &self.beliefs;
+        let state = &self.state;
         match TopicUpdate::from(operator) {
             TopicUpdate::Snapshot { records, unchanged } => {
-                self.operator.replace(beliefs, &records, &unchanged);
+                self.operator.replace(state, &records, &unchanged);
             }
             TopicUpdate::Delta(records) if records.is_empty() => {}
-            TopicUpdate::Delta(records) => self.operator.apply(beliefs, &records),
+            TopicUpdate::Delta(records) => self.operator.apply(state, &records),
         }
         match TopicUpdate::from(registry) {
             TopicUpdate::Snapshot { records, unchanged } => {
-                self.registry.replace(beliefs, &records, &unchanged);
+                self.registry.replace(state, &records, &unchanged);
             }
             TopicUpdate::Delta(records) if records.is_empty() => {}
-            TopicUpdate::Delta(records) => self.registry.apply(beliefs, &records),
+            TopicUpdate::Delta(records) => self.registry.apply(state, &records),
         }
-        update_nodes(beliefs, nodes);
+        update_nodes(state, nodes);
     }
 }
 
 /// Applies another node's update of the list of nodes.
-pub(super) fn update_nodes(beliefs: &Beliefs, nodes: TopicPart) {
+pub(super) fn update_nodes(state: &EntryState, nodes: TopicPart) {
     match TopicUpdate::from(nodes) {
         TopicUpdate::Snapshot { records, unchanged } => {
-            let _nodes = replace_nodes(beliefs, &records, &unchanged);
+            let _nodes = replace_nodes(state, &records, &unchanged);
         }
         TopicUpdate::Delta(records) if records.is_empty() => {}
-        TopicUpdate::Delta(records) => apply_nodes(beliefs, &records),
+        TopicUpdate::Delta(records) => apply_nodes(state, &records),
     }
 }
 
--- a/crates/sesamecart-entry/src/follower/registry.rs
+++ b/crates/sesamecart-entry/src/follower/registry.rs
@@ -9,7 +9,7 @@
 use sesamecart_vocabulary::{EndpointId, ModelId, Timestamp};
 
 use super::log_ignored_record;
-use crate::beliefs::Beliefs;
+use crate::beliefs::EntryState;
 use crate::clock;
 use crate::events::Event;
 
@@ -42,11 +42,11 @@
     /// has.
     pub(super) fn replace(
         &mut self,
-        beliefs: &Beliefs,
+        state: &EntryState,
         records: &[Record],
         unchanged: &IndexSet<String>,
     ) {
-        let current = beliefs.directory.load();
+        let current = state.directory.load();
         let changed = records.iter().filter_map(|record| record.key.as_deref());
         let present: IndexSet<&str> = unchanged
             .iter()
@@ -64,24 +64,24 @@
             .collect();
         drop(current);
         let all: Vec<Record> = records.iter().cloned().chain(removed).collect();
-        self.apply(beliefs, &all);
+        self.apply(state, &all);
     }
 
-    pub(super) fn apply(&mut self, beliefs: &Beliefs, records: &[Record]) {
+    pub(super) fn apply(&mut self, state: &EntryState, records: &[Record]) {
         let now = clock::now();
-        let mut directory = Directory::clone(&beliefs.directory.load());
+        let mut directory = Directory::clone(&state.directory.load());
         for record in records {
-            self.apply_one(beliefs, &mut directory, now, record);
+            self.apply_one(state, &mut directory, now, record);
         }
         let expired = self
             .missing
             .extract_if(.., |_, remove_at| *remove_at <= now);
         for (id, _) in expired {
-            remove(beliefs, &mut directory, now, &id);
+            remove(state, &mut directory, now, &id);
         }
         directory.forget(now);
-        beliefs.tidy_groups(now, &directory);
-        beliefs.directory.rcu(|current| {
+        state.prune_groups(now, &directory);
+        state.directory.rcu(|current| {
             // The operator topic's follower may have changed the evacuations meanwhile.
             let mut directory = directory.clone();
             directory.set_evacuated(current.evacuated().clone());
@@ -93,34 +93,34 @@
 
     fn apply_one(
         &mut self,
-        beliefs: &Beliefs,
+        state: &EntryState,
         directory: &mut Directory,
         now: Timestamp,
         record: &Record,
     ) {
         let Some(key) = record.key.as_deref() else {
-            return log_ignored_record(beliefs, Topic::Registry, "", "the key is unreadable");
+            return log_ignored_record(state, Topic::Registry, "", "the key is unreadable");
         };
         let Ok(id) = key.parse::<EndpointId>() else {
             return log_ignored_record(
-                beliefs,
+                state,
                 Topic::Registry,
                 key,
                 "the key is not a valid endpoint name",
             );
         };
         let Some(value) = record.value.as_deref() else {
-            return self.remove_or_defer(beliefs, directory, now, id);
+            return self.remove_or_defer(state, directory, now, id);
         };
         match decode_endpoint(key, value) {
             Ok(endpoint) => {
                 self.missing.swap_remove(&id);
-                log_change(beliefs, directory, &endpoint);
+                log_change(state, directory, &endpoint);
                 directory.put(now, endpoint);
             }
             Err(error) => {
-                log_ignored_record(beliefs, Topic::Registry, key, &error.to_string());
-                remove(beliefs, directory, now, &id);
+                log_ignored_record(state, Topic::Registry, key, &error.to_string());
+                remove(state, directory, now, &id);
             }
         }
     }
@@ -128,7 +128,7 @@
     /// Removes an endpoint, or defers the removal if the store was unavailable recently.
     fn remove_or_defer(
         &mut self,
-        beliefs: &Beliefs,
+        state: &EntryState,
         directory: &mut Directory,
         now: Timestamp,
         id: EndpointId,
@@ -138,19 +138,19 @@
             Some(remove_at) if remove_at > now => {
                 self.missing.entry(id).or_insert(remove_at);
             }
-            _ => remove(beliefs, directory, now, &id),
+            _ => remove(state, directory, now, &id),
         }
     }
 }
 
-fn remove(beliefs: &Beliefs, directory: &mut Directory, now: Timestamp, id: &EndpointId) {
+fn remove(state: &EntryState, directory: &mut Directory, now: Timestamp, id: &EndpointId) {
     if directory.remove(now, id) {
         let endpoint = id.as_str();
-        beliefs.events.write(&Event::EndpointGone { endpoint });
+        state.events.write(&Event::EndpointGone { endpoint });
     }
 }
 
-fn log_change(beliefs: &Beliefs, directory: &Directory, endpoint: &Endpoint) {
+fn log_change(state: &EntryState, directory: &Directory, endpoint: &Endpoint) {
     let known = directory.find(&endpoint.id);
     if known.is_some_and(|known| **known == *endpoint && directory.is_listed(&endpoint.id)) {
         return;
@@ -159,7 +159,7 @@
     let group = group.map(|role| format!("{}@{} {}", role.group, role.epoch, role.state));
     let staged: Vec<&str> = endpoint.staged.iter().map(ModelId::as_str).collect();
     let domain = endpoint.fabric_domain.as_ref();
-    beliefs.events.write(&Event::EndpointChanged {
+    state.events.write(&Event::EndpointChanged {
         endpoint: endpoint.id.as_str(),
         fabric_domain: domain.map_or("", |domain| domain.as_str()),
         staged: &staged.join(" "),
--- a/crates/sesamecart-entry/src/follower/source_follower.rs
+++ b/crates/sesamecart-entry/src/follower/source_follower.rs
@@ -18,7 +18,7 @@
 use super::peer::Position;
 use super::registry::RegistryState;
 use super::{Dependency, RETRY_DELAY, TopicFollower, TopicState};
-use crate::beliefs::Beliefs;
+use crate::beliefs::EntryState;
 use crate::clock;
 use crate::events::Event;
 
@@ -47,7 +47,7 @@
 
 /// Follows all topics, from one source at a time.
 pub(crate) struct Following {
-    pub(super) beliefs: Arc<Beliefs>,
+    pub(super) state: Arc<EntryState>,
     pub(super) store: Store,
     pub(super) links: Links,
     pub(super) operator: OperatorState,
@@ -61,13 +61,13 @@
 impl Following {
     /// Creates a follower that sends a notification to `changed` for each change of the registry.
     pub(crate) fn new(
-        beliefs: Arc<Beliefs>,
+        state: Arc<EntryState>,
         store: Store,
         links: Links,
         changed: Sender<()>,
     ) -> Self {
         Self {
-            beliefs,
+            state,
             store,
             links,
             operator: OperatorState::default(),
@@ -81,7 +81,7 @@
 
     /// Follows one source after another until the task is dropped.
     pub(crate) async fn run(mut self) {
-        self.nodes.register(&self.beliefs, &self.store).await;
+        self.nodes.register(&self.state, &self.store).await;
         let started_at = clock::now();
         let mut rotation = SourceRotation::default();
         let mut preferred = None;
@@ -111,7 +111,7 @@
     }
 
     pub(super) fn plan(&self) -> SourcePlan {
-        plan_sources(&self.beliefs.settings.node, &self.beliefs.nodes.load())
+        plan_sources(&self.state.settings.node, &self.state.nodes.load())
     }
 
     /// Returns the most preferred source that hasn't been tried in the current round. A follower skips the
@@ -119,8 +119,8 @@
     fn choose_source(&self, started_at: Timestamp, rotation: &SourceRotation) -> Source {
         let mut plan = self.plan();
         let configuration_bound =
-            Duration::from_millis(self.beliefs.settings.bounds.configuration_ms);
-        let age = self.beliefs.configuration_age();
+            Duration::from_millis(self.state.settings.bounds.configuration_ms);
+        let age = self.state.configuration_age();
         let age = age.unwrap_or_else(|| clock::now().since(started_at));
         if plan.role == Role::Follower && age < configuration_bound.mul_f64(STORE_FALLBACK_FRACTION)
         {
@@ -138,12 +138,12 @@
                 None
             }
             Source::Node(links) => {
-                self.beliefs.feed.stop_serving();
+                self.state.feed.stop_serving();
                 Some(links)
             }
         };
-        self.beliefs.follow(links);
-        self.beliefs.events.write(&Event::SourceChanged {
+        self.state.set_upstream(links);
+        self.state.events.write(&Event::SourceChanged {
             source: &source.to_string(),
         });
     }
@@ -152,22 +152,22 @@
     async fn read_store(&mut self) -> SwitchReason {
         let has_others = self.plan().order.len() > 1;
         let timeout = has_others.then_some(STORE_TIMEOUT);
-        let (beliefs, store) = (&*self.beliefs, &self.store);
+        let (state, store) = (&*self.state, &self.store);
         let operator = TopicFollower {
-            beliefs,
+            state,
             store,
             topic: Topic::Operator,
             dependency: &mut self.operator_store,
-            state: TopicState::Operator(&mut self.operator),
+            topic_state: TopicState::Operator(&mut self.operator),
         };
         let registry = TopicFollower {
-            beliefs,
+            state,
             store,
             topic: Topic::Registry,
             dependency: &mut self.registry_store,
-            state: TopicState::Registry(&mut self.registry),
+            topic_state: TopicState::Registry(&mut self.registry),
         };
-        let reads = join(registry.run(None), self.nodes.run(beliefs, store));
+        let reads = join(registry.run(None), self.nodes.run(state, store));
         let failure = async {
             future::or(operator.run(timeout), async {
                 reads.await;
@@ -176,7 +176,7 @@
             SwitchReason::Failed
         };
         let preferred =
-            async { SwitchReason::FoundBetter(wait_for_preferred(beliefs, &self.links).await) };
+            async { SwitchReason::FoundBetter(wait_for_preferred(state, &self.links).await) };
         future::or(failure, preferred).await
     }
 
@@ -211,17 +211,17 @@
 }
 
 /// Waits until a preferred node serves, and returns it; pending for as long as there is none.
-async fn wait_for_preferred(beliefs: &Beliefs, links: &Links) -> Source {
+async fn wait_for_preferred(state: &EntryState, links: &Links) -> Source {
     sleep(PREFERRED_PROBE_INTERVAL).await;
     loop {
-        let plan = plan_sources(&beliefs.settings.node, &beliefs.nodes.load());
+        let plan = plan_sources(&state.settings.node, &state.nodes.load());
         for source in plan.home {
             let Source::Node(address) = source else {
                 continue;
             };
             // A node that controls the groups keeps reading the store: while control moves, engines receive
             // no orders for the length of a lease.
-            if !beliefs.controls() && is_serving(links, address).await {
+            if !state.is_controller() && is_serving(links, address).await {
                 return source;
             }
         }
--- a/crates/sesamecart-entry/src/follower/tests.rs
+++ b/crates/sesamecart-entry/src/follower/tests.rs
@@ -6,7 +6,7 @@
 
 use super::operator::OperatorState;
 use super::registry::RegistryState;
-use crate::testkit::beliefs;
+use crate::testkit::new_state;
 
 fn record(key: &str, value: serde_json::Value) -> Record {
     Record {
@@ -30,13 +30,13 @@
 /// Guards against routing requests to an endpoint that no longer exists.
 #[test]
 fn endpoints_neither_changed_nor_unchanged_are_removed() {
-    let beliefs = beliefs(true);
+    let state = new_state(true);
     let (changed, _changes) = async_channel::bounded(1);
-    let mut state = RegistryState::new(changed);
+    let mut registry = RegistryState::new(changed);
     let all = ["e1", "e2", "e3"].map(|id| endpoint(id, "ready"));
-    state.replace(&beliefs, &all, &keys([]));
-    state.replace(&beliefs, &[endpoint("e3", "draining")], &keys(["e1"]));
-    let directory = beliefs.directory.load();
+    registry.replace(&state, &all, &keys([]));
+    registry.replace(&state, &[endpoint("e3", "draining")], &keys(["e1"]));
+    let directory = state.directory.load();
     let listed: Vec<&str> = directory.listed_ids().map(|id| id.as_str()).collect();
     assert_eq!(listed, ["e1", "e3"]);
 }
@@ -45,14 +45,14 @@
 /// evacuation whose key is unchanged.
 #[test]
 fn evacuations_neither_changed_nor_unchanged_are_cleared() {
-    let beliefs = beliefs(true);
-    let mut state = OperatorState::default();
+    let state = new_state(true);
+    let mut operator = OperatorState::default();
     let both = ["evacuate/a", "evacuate/b"].map(|key| record(key, json!({})));
-    state.replace(&beliefs, &both, &keys([]));
+    operator.replace(&state, &both, &keys([]));
     let third = [record("evacuate/c", json!({}))];
-    state.replace(&beliefs, &third, &keys(["evacuate/b", "config"]));
-    let evacuated: IndexSet<String> = beliefs
-        .evacuated()
+    operator.replace(&state, &third, &keys(["evacuate/b", "config"]));
+    let evacuated: IndexSet<String> = state
+        .evacuated_domains()
         .iter()
         .map(ToString::to_string)
         .collect();
--- a/crates/sesamecart-entry/src/losses.rs
+++ b/crates/sesamecart-entry/src/losses.rs
@@ -15,7 +15,7 @@
 use sesamecart_platform::{Expected, Record, Store, Topic};
 use sesamecart_runtime::within;
 
-use crate::beliefs::Beliefs;
+use crate::beliefs::EntryState;
 use crate::clock;
 use crate::events::Event;
 
@@ -24,8 +24,8 @@
 
 /// Reports a loss that this node detected to the controller: through the node that this node follows, which
 /// merges the reports of its followers into one, or else through the store.
-pub(crate) async fn report(beliefs: &Beliefs, store: &Store, links: &Links, key: &GroupKey) {
-    let upstream = beliefs.followed();
+pub(crate) async fn report(state: &EntryState, store: &Store, links: &Links, key: &GroupKey) {
+    let upstream = state.upstream();
     if let Some(address) = upstream {
         let loss = GroupLoss {
             group: key.to_string(),
@@ -37,13 +37,13 @@
             Err(elapsed) => log::debug!("losses: node at {address}: report failed: {elapsed}."),
         }
     }
-    if beliefs.note_reported(key) {
-        report_to_store(beliefs, store, key).await;
+    if state.mark_loss_reported(key) {
+        report_to_store(state, store, key).await;
     }
 }
 
 /// Appends a loss to the observations topic, which the controller reads.
-pub(crate) async fn report_to_store(beliefs: &Beliefs, store: &Store, key: &GroupKey) {
+pub(crate) async fn report_to_store(state: &EntryState, store: &Store, key: &GroupKey) {
     let record = Record {
         key: None,
         value: Some(key.to_string().into_bytes()),
@@ -51,8 +51,8 @@
     let append = store.append(Topic::Observations, &record, Expected::Anything);
     if let Err(error) = append.await {
         // The controller detects the loss a little later, from its own streams or the expired registry entry.
-        beliefs.metrics.count_store_failure();
-        beliefs.events.write(&Event::RecordIgnored {
+        state.metrics.count_store_failure();
+        state.events.write(&Event::RecordIgnored {
             topic: "observations",
             key: &key.to_string(),
             cause: &error.to_string(),
@@ -62,14 +62,14 @@
 
 /// Announces a loss that the controller has confirmed to all nodes: to those that follow this node, and
 /// through the other store readers to those that follow them.
-pub(crate) async fn announce(beliefs: Arc<Beliefs>, links: Links, key: GroupKey) {
-    if !beliefs.feed.note_loss(clock::now(), &key) {
+pub(crate) async fn announce(state: Arc<EntryState>, links: Links, key: GroupKey) {
+    if !state.feed.note_loss(clock::now(), &key) {
         return;
     }
-    let nodes = beliefs.nodes.load_full();
+    let nodes = state.nodes.load_full();
     // A standby may be serving followers in place of its reader.
     let serving = readers(&nodes).into_iter().chain(standbys(&nodes));
-    let others = serving.filter(|peer| peer.node != beliefs.settings.node);
+    let others = serving.filter(|peer| peer.node != state.settings.node);
     let announcements = others.map(|reader| announce_to(&links, reader.links, &key));
     join_all(announcements).await;
 }
@@ -88,7 +88,7 @@
 }
 
 /// Parses a group's name and epoch from the `Display` format of [`GroupKey`].
-pub(crate) fn parse_group(text: &str) -> Option<GroupKey> {
+pub(crate) fn parse_group_key(text: &str) -> Option<GroupKey> {
     let (group, epoch) = text.rsplit_once('@')?;
     Some(GroupKey {
         group: group.parse().ok()?,
--- a/crates/sesamecart-entry/src/metrics.rs
+++ b/crates/sesamecart-entry/src/metrics.rs
@@ -123,7 +123,7 @@
             .add(1, &[KeyValue::new("may_have_run", may_have_run)]);
     }
 
-    pub(crate) fn count_resumed(&self) {
+    pub(crate) fn count_resumed_stream(&self) {
         self.resumed.add(1, &[]);
     }
 
@@ -173,7 +173,7 @@
         self.domains_evacuated.record(domains as u64, &[]);
     }
 
-    pub(crate) fn record_first(&self, taken: Duration) {
+    pub(crate) fn record_first_response(&self, taken: Duration) {
         self.first_response.record(taken.as_secs_f64(), &[]);
     }
 
--- a/crates/sesamecart-entry/src/node.rs
+++ b/crates/sesamecart-entry/src/node.rs
@@ -17,10 +17,10 @@
 use sesamecart_runtime::{ByteCount, Signal, Trigger, Worker, listen, sleep};
 use sesamecart_vocabulary::NodeId;
 
-use crate::beliefs::Beliefs;
+use crate::beliefs::EntryState;
 use crate::controller::Controller;
 use crate::events::{Event, EventLog};
-use crate::examinations::Examinations;
+use crate::examinations::GroupProber;
 use crate::exchange;
 use crate::feed;
 use crate::follower::Following;
@@ -60,7 +60,7 @@
 /// A running node.
 #[derive(Debug)]
 pub struct Entry {
-    beliefs: Arc<Beliefs>,
+    state: Arc<EntryState>,
     callers: SocketAddr,
     readiness: SocketAddr,
     leave: Trigger,
@@ -126,14 +126,14 @@
             version: env!("CARGO_PKG_VERSION"),
         });
         let metrics = Metrics::new().map_err(|reason| error("set up metrics", reason))?;
-        let beliefs = Arc::new(Beliefs::new(settings, events, metrics));
+        let state = Arc::new(EntryState::new(settings, events, metrics));
         let (leave, leaving) = Signal::new();
-        let control = start_control(&beliefs, listeners.control)
+        let control = start_control(&state, listeners.control)
             .map_err(|reason| error("start control", reason.into()))?;
-        let traffic = traffic::start(&beliefs, listeners.callers, &leaving)
+        let traffic = traffic::start(&state, listeners.callers, &leaving)
             .map_err(|reason| error("start traffic", reason.into()))?;
         Ok(Self {
-            beliefs,
+            state,
             callers,
             readiness,
             leave,
@@ -145,20 +145,20 @@
 
     /// Returns the address that callers connect to.
     #[must_use]
-    pub const fn callers(&self) -> SocketAddr {
+    pub const fn caller_address(&self) -> SocketAddr {
         self.callers
     }
 
     /// Returns the address of the readiness check.
     #[must_use]
-    pub const fn readiness(&self) -> SocketAddr {
+    pub const fn readiness_address(&self) -> SocketAddr {
         self.readiness
     }
 
     /// Returns the state that the node's threads share.
     #[must_use]
-    pub const fn beliefs(&self) -> &Arc<Beliefs> {
-        &self.beliefs
+    pub const fn state(&self) -> &Arc<EntryState> {
+        &self.state
     }
 
     /// Shuts down gracefully: reports that the node isn't ready, waits until the load balancer has noticed
@@ -166,34 +166,34 @@
     /// cut off.
     pub async fn leave(mut self) -> usize {
         let started_at = Instant::now();
-        self.beliefs.set_leaving();
-        self.beliefs.events.write(&Event::Leaving {
-            connections: self.beliefs.connections.open(),
+        self.state.set_leaving();
+        self.state.events.write(&Event::Leaving {
+            connections: self.state.connections.open(),
         });
-        let grace = self.beliefs.settings.bounds.shutdown_grace();
+        let grace = self.state.settings.bounds.shutdown_grace();
         let limit = grace.saturating_sub(EXIT_RESERVE);
         sleep(BALANCER_REMOVAL_TIME.min(limit / 2)).await;
         self.leave.give();
-        while started_at.elapsed() < limit && self.beliefs.connections.open() > 0 {
+        while started_at.elapsed() < limit && self.state.connections.open() > 0 {
             sleep(LEAVE_POLL_INTERVAL).await;
         }
-        let cut_off = self.beliefs.connections.open();
+        let cut_off = self.state.connections.open();
         self.stop(cut_off);
         cut_off
     }
 
     /// Stops immediately, as in a crash; requests in flight are cut off.
     pub fn kill(mut self) {
-        let cut_off = self.beliefs.connections.open();
+        let cut_off = self.state.connections.open();
         self.stop(cut_off);
     }
 
     fn stop(&mut self, cut_off: usize) {
         self.traffic.stop();
         self.control.stop();
-        write_store_calls(&self.beliefs);
-        self.beliefs.events.write(&Event::Stopped { cut_off });
-        self.beliefs.events.close();
+        write_store_calls(&self.state);
+        self.state.events.write(&Event::Stopped { cut_off });
+        self.state.events.close();
         if let Some(writer) = self.log_writer.take()
             && writer.join().is_err()
         {
@@ -204,12 +204,12 @@
     /// Reads the settings file again and logs the result. No setting takes effect before a restart.
     fn reload(&self, path: &Path) {
         let outcome = match EntrySettings::read(path) {
-            Ok(settings) if settings == self.beliefs.settings => "nothing has changed".to_owned(),
+            Ok(settings) if settings == self.state.settings => "nothing has changed".to_owned(),
             // Addresses and names can't change while connections are open.
             Ok(_) => "the new settings take effect at the next start".to_owned(),
             Err(error) => format!("the settings stay as they are: {error}"),
         };
-        self.beliefs
+        self.state
             .events
             .write(&Event::Reloaded { outcome: &outcome });
     }
@@ -235,47 +235,47 @@
     })
 }
 
-fn start_control(beliefs: &Arc<Beliefs>, listeners: ControlListeners) -> std::io::Result<Worker> {
+fn start_control(state: &Arc<EntryState>, listeners: ControlListeners) -> std::io::Result<Worker> {
     let worker = Worker::start("control")?;
     let tasks = worker.tasks().clone();
     let client = HttpClient::new(tasks.clone(), CONTROL_CONNECT_TIMEOUT);
     let store = {
-        let state = Arc::clone(beliefs);
-        let on_call = move |step, topic| state.metrics.count_store_call(step, topic);
+        let on_call_state = Arc::clone(state);
+        let on_call = move |step, topic| on_call_state.metrics.count_store_call(step, topic);
         Store::new(
             client.clone(),
-            beliefs.settings.store,
+            state.settings.store,
             STORE_CALL_TIMEOUT,
             on_call,
         )
     };
-    tasks.spawn(log_store_calls(Arc::clone(beliefs)));
+    tasks.spawn(log_store_calls(Arc::clone(state)));
     let (change_tx, registry_changed) = async_channel::bounded(1);
     let (loss_tx, lost_groups) = async_channel::unbounded();
     let links = Links::new(tasks.clone(), ByteCount::default());
-    let following = Following::new(Arc::clone(beliefs), store.clone(), links.clone(), change_tx);
+    let following = Following::new(Arc::clone(state), store.clone(), links.clone(), change_tx);
     tasks.spawn(following.run());
-    let examinations = Examinations::new(Arc::clone(beliefs), client.clone(), links.clone());
+    let examinations = GroupProber::new(Arc::clone(state), client.clone(), links.clone());
     tasks.spawn(feed::serve(
-        Arc::clone(beliefs),
+        Arc::clone(state),
         store.clone(),
         examinations.clone(),
         listeners.links,
         tasks.clone(),
     ));
     tasks.spawn(exchange::watch_peers(
-        Arc::clone(beliefs),
+        Arc::clone(state),
         links.clone(),
         tasks.clone(),
     ));
     tasks.spawn(watch::watch_heads(
-        Arc::clone(beliefs),
+        Arc::clone(state),
         examinations,
         tasks.clone(),
         loss_tx,
     ));
     let controller = Controller {
-        beliefs: Arc::clone(beliefs),
+        state: Arc::clone(state),
         store,
         client,
         links,
@@ -284,39 +284,39 @@
         lost_groups,
     };
     tasks.spawn(controller.run());
-    serve_page(beliefs, listeners.readiness, &worker, readiness_page);
-    serve_page(beliefs, listeners.metrics, &worker, metrics_page);
+    serve_page(state, listeners.readiness, &worker, readiness_page);
+    serve_page(state, listeners.metrics, &worker, metrics_page);
     Ok(worker)
 }
 
 /// Logs the calls to the store at an interval until the task is cancelled, so that most of them are in the
 /// log even if the process is killed.
-async fn log_store_calls(beliefs: Arc<Beliefs>) {
+async fn log_store_calls(state: Arc<EntryState>) {
     loop {
         sleep(STORE_CALLS_LOG_INTERVAL).await;
-        write_store_calls(&beliefs);
+        write_store_calls(&state);
     }
 }
 
-fn write_store_calls(beliefs: &Beliefs) {
-    if let Some(calls) = beliefs.metrics.store_call_summary() {
-        beliefs.events.write(&Event::StoreCalled { calls: &calls });
+fn write_store_calls(state: &EntryState) {
+    if let Some(calls) = state.metrics.store_call_summary() {
+        state.events.write(&Event::StoreCalled { calls: &calls });
     }
 }
 
 /// Serves the same page for every path until the thread stops.
 fn serve_page(
-    beliefs: &Arc<Beliefs>,
+    state: &Arc<EntryState>,
     listener: TcpListener,
     worker: &Worker,
-    page: fn(&Beliefs) -> Response<CallerBody>,
+    page: fn(&EntryState) -> Response<CallerBody>,
 ) {
     let tasks = worker.tasks().clone();
-    let beliefs = Arc::clone(beliefs);
+    let state = Arc::clone(state);
     tasks.clone().spawn(async move {
         // The load balancer checks readiness until the process exits, so this ends only with the thread.
         let (_trigger, until) = Signal::new();
-        let handle = move |_req: Request<Incoming>, _peer| future::ready(page(&beliefs));
+        let handle = move |_req: Request<Incoming>, _peer| future::ready(page(&state));
         let limits = ServerLimits::default;
         let connections = Connections::default();
         let serving =
@@ -327,8 +327,8 @@
     });
 }
 
-fn readiness_page(beliefs: &Beliefs) -> Response<CallerBody> {
-    let Some(reason) = beliefs.unready_reason() else {
+fn readiness_page(state: &EntryState) -> Response<CallerBody> {
+    let Some(reason) = state.unready_reason() else {
         return Response::new(whole("ready\n"));
     };
     let mut response = Response::new(whole(format!("{reason}\n")));
@@ -336,8 +336,8 @@
     response
 }
 
-fn metrics_page(beliefs: &Beliefs) -> Response<CallerBody> {
-    match beliefs.metrics.render() {
+fn metrics_page(state: &EntryState) -> Response<CallerBody> {
+    match state.metrics.render() {
         Ok(text) => Response::new(whole(text)),
         Err(error) => {
             log::error!("node: the metrics can't be rendered: {error}.");
--- a/crates/sesamecart-entry/src/testkit.rs
+++ b/crates/sesamecart-entry/src/testkit.rs
@@ -4,13 +4,13 @@
 
 use serde_json::json;
 
-use crate::beliefs::Beliefs;
+use crate::beliefs::EntryState;
 use crate::events::EventLog;
 use crate::metrics::Metrics;
 use crate::settings::EntrySettings;
 
 /// Creates the state of a node `n1` that has read nothing yet.
-pub(crate) fn beliefs(first_start: bool) -> Beliefs {
+pub(crate) fn new_state(first_start: bool) -> EntryState {
     let text = json!({
         "node": "n1", "failure_domain": "a", "region": "r",
         "callers": "127.0.0.1:0", "readiness": "127.0.0.1:0", "metrics": "127.0.0.1:0",
@@ -26,7 +26,7 @@
     let settings = settings.expect("the settings should be valid");
     let (events, _writer) =
         EventLog::start(settings.node.clone()).expect("the log thread should start");
-    Beliefs::new(
+    EntryState::new(
         settings,
         events,
         Metrics::new().expect("the metrics should be set up"),
--- a/crates/sesamecart-entry/src/traffic.rs
+++ b/crates/sesamecart-entry/src/traffic.rs
@@ -18,7 +18,7 @@
 use sesamecart_edges::{HttpClient, ServerLimits};
 use sesamecart_runtime::{Signal, Worker};
 
-use crate::beliefs::Beliefs;
+use crate::beliefs::EntryState;
 use crate::traffic::handler::Handler;
 
 /// How long opening a connection to an endpoint may take.
@@ -41,19 +41,19 @@
 
 /// Starts the traffic thread.
 pub(crate) fn start(
-    beliefs: &Arc<Beliefs>,
+    state: &Arc<EntryState>,
     listener: TcpListener,
     leaving: &Signal,
 ) -> std::io::Result<Worker> {
     let worker = Worker::start("traffic")?;
     let tasks = worker.tasks().clone();
     let client = HttpClient::new(tasks.clone(), CONNECT_TIMEOUT);
-    let handler = Handler::new(Arc::clone(beliefs), client);
-    let connections = beliefs.connections.clone();
+    let handler = Handler::new(Arc::clone(state), client);
+    let connections = state.connections.clone();
     let leaving = leaving.clone();
     let limits = {
-        let beliefs = Arc::clone(beliefs);
-        move || server_limits(&beliefs)
+        let state = Arc::clone(state);
+        move || server_limits(&state)
     };
     tasks.spawn({
         let tasks = tasks.clone();
@@ -80,8 +80,8 @@
 }
 
 /// Returns the limits for a connection that is accepted now.
-fn server_limits(beliefs: &Beliefs) -> ServerLimits {
-    let idle_timeout = match &*beliefs.catalog.load() {
+fn server_limits(state: &EntryState) -> ServerLimits {
+    let idle_timeout = match &*state.catalog.load() {
         Some(catalog) => catalog.limits.idle_time.max(catalog.limits.header_time),
         None => DEFAULT_IDLE_TIMEOUT,
     };
--- a/crates/sesamecart-entry/src/traffic/call.rs
+++ b/crates/sesamecart-entry/src/traffic/call.rs
@@ -12,7 +12,7 @@
 use sesamecart_platform::Asked;
 use sesamecart_vocabulary::{EndpointId, Timestamp};
 
-use crate::beliefs::Beliefs;
+use crate::beliefs::EntryState;
 use crate::clock;
 use crate::events::Event;
 use crate::follower::millis;
@@ -30,7 +30,7 @@
 /// A request whose body has been read completely, with its route.
 #[derive(Debug)]
 pub(crate) struct Call {
-    pub(crate) beliefs: Arc<Beliefs>,
+    pub(crate) state: Arc<EntryState>,
     pub(crate) client: HttpClient,
     pub(crate) catalog: Arc<Catalog>,
     pub(crate) route: Arc<PathRoute>,
@@ -124,7 +124,7 @@
                     return Err(self.final_refusal(last_error, attempts, Some(unavailable)));
                 }
             };
-            if attempts.made > 0 && !self.beliefs.try_withdraw_retry(&placement.service) {
+            if attempts.made > 0 && !self.state.try_withdraw_retry(&placement.service) {
                 let error = AttemptError {
                     cause: "the retry budget is spent".to_owned(),
                     may_have_run: attempts.may_have_run > 0,
@@ -132,7 +132,7 @@
                 return Err(self.final_refusal(Some(error), attempts, None));
             }
             if attempts.made == 0 {
-                self.beliefs.deposit_retry(&placement.service);
+                self.state.deposit_retry(&placement.service);
                 self.record_placement(&placement);
             }
             let endpoint = placement.endpoint.id.clone();
@@ -179,10 +179,8 @@
 
     /// Counts a failed attempt in the metrics and writes it to the decision log.
     fn report_failure(&self, endpoint: &EndpointId, error: &AttemptError) {
-        self.beliefs
-            .metrics
-            .count_failed_attempt(error.may_have_run);
-        self.beliefs.events.write(&Event::AttemptFailed {
+        self.state.metrics.count_failed_attempt(error.may_have_run);
+        self.state.events.write(&Event::AttemptFailed {
             request: self.metadata.id.as_str(),
             endpoint: endpoint.as_str(),
             cause: &error.cause,
@@ -200,7 +198,7 @@
     ) -> Result<EndpointResponse, AttemptError> {
         attempts.made += 1;
         let endpoint = &placement.endpoint;
-        self.beliefs.events.write_success(
+        self.state.events.write_success(
             clock::now(),
             &Event::Sent {
                 request: self.metadata.id.as_str(),
@@ -212,9 +210,9 @@
         );
         let group_lost = endpoint
             .group_key()
-            .map(|key| self.beliefs.watch_group(&key));
+            .map(|key| self.state.group_loss_signal(&key));
         let mut in_flight = InFlightRequest::start(
-            Arc::clone(&self.beliefs),
+            Arc::clone(&self.state),
             endpoint.id.clone(),
             self.metadata.id.clone(),
             self.arrived_at,
--- a/crates/sesamecart-entry/src/traffic/demand.rs
+++ b/crates/sesamecart-entry/src/traffic/demand.rs
@@ -15,17 +15,14 @@
         let tokens = spec.tokens(prompt, self.expected_output_tokens());
         let group_time = spec.group_time(model, tokens);
         let now = clock::now();
-        let mut demand = self.beliefs.demand();
+        let mut demand = self.state.demand();
         demand.note(now, &model.model, group_time, tokens);
     }
 
     /// Returns how many requests a group of the model can hold while each of them still starts in time.
     pub(super) fn usable_slots(&self) -> Option<u32> {
         let (spec, model) = self.engine_model()?;
-        let mean = self
-            .beliefs
-            .demand()
-            .mean_tokens(clock::now(), &model.model);
+        let mean = self.state.demand().mean_tokens(clock::now(), &model.model);
         Some(spec.usable_slots(mean))
     }
 
--- a/crates/sesamecart-entry/src/traffic/handler.rs
+++ b/crates/sesamecart-entry/src/traffic/handler.rs
@@ -13,7 +13,7 @@
 use sesamecart_platform::{Asked, forwarded_headers};
 use sesamecart_vocabulary::{EndpointId, Timestamp};
 
-use crate::beliefs::Beliefs;
+use crate::beliefs::EntryState;
 use crate::clock;
 use crate::events::Event;
 use crate::follower::millis;
@@ -24,13 +24,13 @@
 /// Handles callers' requests.
 #[derive(Clone, Debug)]
 pub(crate) struct Handler {
-    beliefs: Arc<Beliefs>,
+    state: Arc<EntryState>,
     client: HttpClient,
 }
 
 impl Handler {
-    pub(crate) const fn new(beliefs: Arc<Beliefs>, client: HttpClient) -> Self {
-        Self { beliefs, client }
+    pub(crate) const fn new(state: Arc<EntryState>, client: HttpClient) -> Self {
+        Self { state, client }
     }
 
     /// Handles a request. Each failure is turned into a response whose status shows whether the request may
@@ -42,7 +42,7 @@
             Ok(response) => response,
             Err(refused) => self.refuse(arrived_at, &refused),
         };
-        if self.beliefs.is_leaving() {
+        if self.state.is_leaving() {
             let headers = response.headers_mut();
             headers.insert(CONNECTION, HeaderValue::from_static("close"));
         }
@@ -57,15 +57,15 @@
             retry_after,
         } = refused;
         let status = refusal.status().as_u16();
-        let catalog = self.beliefs.catalog.load();
-        self.beliefs.metrics.count_answer("node", status);
-        self.beliefs.events.write(&Event::Refused {
+        let catalog = self.state.catalog.load();
+        self.state.metrics.count_answer("node", status);
+        self.state.events.write(&Event::Refused {
             request: id,
             status,
             cause: &refusal.to_string(),
             retry_after_ms: (*retry_after).map(millis),
             configuration: catalog.as_ref().map_or(0, |catalog| catalog.version.0),
-            configuration_age_ms: self.beliefs.configuration_age().map(millis),
+            configuration_age_ms: self.state.configuration_age().map(millis),
             after_ms: millis(clock::now().since(arrived_at)),
         });
         refusal.to_response(*retry_after)
@@ -84,10 +84,10 @@
         let id = metadata.id.to_string();
         let refused = |refusal| Refused::new(id.clone(), refusal);
         let admitted = self.admit(&head, &metadata).map_err(refused)?;
-        self.beliefs.note_request();
+        self.state.record_request();
         let body = read_body(&admitted.catalog, body).await.map_err(refused)?;
         let call = Arc::new(Call {
-            beliefs: Arc::clone(&self.beliefs),
+            state: Arc::clone(&self.state),
             client: self.client.clone(),
             catalog: admitted.catalog,
             route: admitted.route,
@@ -114,7 +114,7 @@
     /// recent.
     fn admit(&self, head: &Parts, metadata: &Asked) -> Result<Admitted, Refusal> {
         let not_ready = Refusal::NotReady;
-        let catalog = self.beliefs.catalog.load_full();
+        let catalog = self.state.catalog.load_full();
         let catalog = catalog.ok_or_else(|| not_ready("the node has no configuration yet"))?;
         if head_size(head) > catalog.limits.max_header_bytes.0 {
             return Err(Refusal::HeadTooLarge);
@@ -123,7 +123,7 @@
         // that may have missed a change therefore responds that it isn't ready instead of denying an allowed
         // request.
         let deny = |refusal| {
-            if self.beliefs.is_outdated() {
+            if self.state.is_configuration_outdated() {
                 not_ready("the node's configuration may be out of date")
             } else {
                 refusal
@@ -139,7 +139,7 @@
                 customer: None,
             });
         };
-        if !self.beliefs.is_confirmed_fresh() {
+        if !self.state.is_confirmed_fresh() {
             return Err(not_ready("the node's configuration is too old"));
         }
         let key = metadata.key.as_ref();
@@ -282,9 +282,9 @@
     let (head, body) = response.into_parts();
     let status = head.status.as_u16();
     let elapsed = call.elapsed();
-    call.beliefs.metrics.count_answer("endpoint", status);
-    call.beliefs.metrics.record_first(elapsed);
-    call.beliefs.events.write_success(
+    call.state.metrics.count_answer("endpoint", status);
+    call.state.metrics.record_first_response(elapsed);
+    call.state.events.write_success(
         clock::now(),
         &Event::Answered {
             request: call.metadata.id.as_str(),
--- a/crates/sesamecart-entry/src/traffic/in_flight.rs
+++ b/crates/sesamecart-entry/src/traffic/in_flight.rs
@@ -7,7 +7,7 @@
 use sesamecart_runtime::Signal;
 use sesamecart_vocabulary::{EndpointId, RequestId, Timestamp};
 
-use crate::beliefs::Beliefs;
+use crate::beliefs::EntryState;
 use crate::clock;
 use crate::events::Event;
 use crate::follower::millis;
@@ -18,7 +18,7 @@
 /// value releases the slot at the endpoint; otherwise the node would count the slot as occupied forever.
 #[derive(Debug)]
 pub(crate) struct InFlightRequest {
-    beliefs: Arc<Beliefs>,
+    state: Arc<EntryState>,
     pub(crate) endpoint: EndpointId,
     request: RequestId,
     arrived_at: Timestamp,
@@ -34,17 +34,17 @@
 impl InFlightRequest {
     /// Registers a request that is sent to an endpoint now.
     pub(crate) fn start(
-        beliefs: Arc<Beliefs>,
+        state: Arc<EntryState>,
         endpoint: EndpointId,
         request: RequestId,
         arrived_at: Timestamp,
         group_lost: Option<Signal>,
     ) -> Self {
         let sent_at = clock::now();
-        beliefs.loads().sent(sent_at, &endpoint);
-        beliefs.loads_changed.notify(usize::MAX);
+        state.loads().sent(sent_at, &endpoint);
+        state.loads_changed.notify(usize::MAX);
         Self {
-            beliefs,
+            state,
             endpoint,
             request,
             arrived_at,
@@ -75,26 +75,26 @@
     pub(crate) fn record_activity(&mut self) {
         let now = clock::now();
         if self.has_started {
-            self.beliefs.loads().heard(now, &self.endpoint);
+            self.state.loads().heard(now, &self.endpoint);
             return;
         }
         self.has_started = true;
-        self.beliefs.loads().begun(now, &self.endpoint);
-        self.beliefs.loads_changed.notify(usize::MAX);
+        self.state.loads().begun(now, &self.endpoint);
+        self.state.loads_changed.notify(usize::MAX);
     }
 
     /// Records that the response was complete.
     pub(crate) fn mark_succeeded(&mut self) {
         self.has_ended = true;
-        self.beliefs.loads().succeeded(&self.endpoint);
+        self.state.loads().succeeded(&self.endpoint);
     }
 
     /// Records that the endpoint failed the request, which may eject the endpoint.
     pub(crate) fn mark_failed(&mut self) {
         self.has_ended = true;
-        let ejection_time = self.beliefs.loads().failed(clock::now(), &self.endpoint);
+        let ejection_time = self.state.loads().failed(clock::now(), &self.endpoint);
         if let Some(ejection_time) = ejection_time {
-            self.beliefs.events.write(&Event::EndpointRests {
+            self.state.events.write(&Event::EndpointRests {
                 endpoint: self.endpoint.as_str(),
                 request: self.request.as_str(),
                 rest_ms: millis(ejection_time),
@@ -110,12 +110,12 @@
 
 impl Drop for InFlightRequest {
     fn drop(&mut self) {
-        self.beliefs.loads().ended(&self.endpoint, self.has_started);
-        self.beliefs.loads_changed.notify(usize::MAX);
+        self.state.loads().ended(&self.endpoint, self.has_started);
+        self.state.loads_changed.notify(usize::MAX);
         if self.has_ended {
             return;
         }
-        self.beliefs.events.write(&Event::CallerLeft {
+        self.state.events.write(&Event::CallerLeft {
             request: self.request.as_str(),
             endpoint: self.endpoint.as_str(),
             after_ms: millis(clock::now().since(self.arrived_at)),
--- a/crates/sesamecart-entry/src/traffic/placement.rs
+++ b/crates/sesamecart-entry/src/traffic/placement.rs
@@ -47,12 +47,12 @@
         let service_config = self.catalog.services.get(service);
         let has_engine = service_config.is_some_and(|config| config.engine.is_some());
         let model = self.metadata.model.as_ref().filter(|_| has_engine);
-        let directory = self.beliefs.directory.load_full();
+        let directory = self.state.directory.load_full();
         let slots = self.usable_slots();
         let mut endpoints: Vec<&Arc<Endpoint>> = directory
             .candidates(service, model)
             .filter(|endpoint| !attempts.tried.contains(&endpoint.id))
-            .filter(|endpoint| !self.beliefs.is_lost(endpoint))
+            .filter(|endpoint| !self.state.is_group_lost(endpoint))
             .collect();
         if let (true, Some(model), Some(config)) = (endpoints.is_empty(), model, service_config)
             && !config.may_hold(model, directory.largest_fabric_domain(service))
@@ -66,13 +66,10 @@
                 .map(|endpoint| Candidate {
                     id: &endpoint.id,
                     slots: slots.unwrap_or(endpoint.slots),
-                    is_local: endpoint.failure_domain == self.beliefs.settings.failure_domain,
+                    is_local: endpoint.failure_domain == self.state.settings.failure_domain,
                 })
                 .collect();
-            let chosen = self
-                .beliefs
-                .loads()
-                .choose(now, &candidates, fastrand::f64)?;
+            let chosen = self.state.loads().choose(now, &candidates, fastrand::f64)?;
             if self.is_over_share(attempts, service, chosen.load) {
                 return Err(Unavailable::OverShare);
             }
@@ -81,7 +78,7 @@
             let is_skipped = cold_per_s.is_some_and(|per_s| {
                 directory.is_cold(now, &endpoint.id)
                     && (cold_policy == ColdEndpointPolicy::Skip
-                        || !self.beliefs.take_cold(&endpoint, per_s))
+                        || !self.state.try_take_cold_request(&endpoint, per_s))
             });
             if is_skipped {
                 endpoints.remove(chosen.index);
@@ -101,7 +98,7 @@
         let customer = self.customer.as_ref().filter(|_| attempts.made == 0);
         customer.is_some_and(|customer| {
             let pool = self.pool(service);
-            self.beliefs.is_over_share(&pool, &customer.id, load)
+            self.state.is_over_share(&pool, &customer.id, load)
         })
     }
 
@@ -109,7 +106,7 @@
     pub(super) fn record_placement(&self, placement: &Placement) {
         let customer_id = self.customer.as_ref().map(|customer| &customer.id);
         let pool = self.pool(&placement.service);
-        self.beliefs.note_placed(&pool, customer_id);
+        self.state.record_placed(&pool, customer_id);
     }
 
     /// Returns the pool of endpoints for which the request competes with others.
@@ -127,7 +124,7 @@
         let Some(service) = service else {
             return refusal.retry_after(fastrand::f64());
         };
-        let after = self.beliefs.schedule_retry(&self.pool(service));
+        let after = self.state.schedule_retry(&self.pool(service));
         Some(after.min(self.caller_time_left().mul_f64(MAX_RETRY_AFTER_FRACTION)))
     }
 
--- a/crates/sesamecart-entry/src/traffic/relay.rs
+++ b/crates/sesamecart-entry/src/traffic/relay.rs
@@ -59,7 +59,7 @@
     pub(crate) fn new(call: Arc<Call>, attempts: Attempts, received: EndpointResponse) -> Self {
         let last_event = call.metadata.last_event.clone();
         let elapsed = call.elapsed();
-        call.beliefs.metrics.record_first(elapsed);
+        call.state.metrics.record_first_response(elapsed);
         Self {
             deadline: Timer::after(call.time_left()),
             status: received.status.as_u16(),
@@ -179,8 +179,8 @@
             }
             Err(refusal) => return Err(self.fail(&format!("{reason}; then: {refusal}"))),
         };
-        self.call.beliefs.metrics.count_resumed();
-        self.call.beliefs.events.write(&Event::Resumed {
+        self.call.state.metrics.count_resumed_stream();
+        self.call.state.events.write(&Event::Resumed {
             request: self.call.metadata.id.as_str(),
             from: from.as_str(),
             endpoint: received.in_flight.endpoint.as_str(),
@@ -201,10 +201,10 @@
         self.call.return_connection(source.lease);
         let now = clock::now();
         self.call
-            .beliefs
+            .state
             .metrics
             .count_answer("endpoint", self.status);
-        self.call.beliefs.events.write_success(
+        self.call.state.events.write_success(
             now,
             &Event::Answered {
                 request: self.call.metadata.id.as_str(),
@@ -225,11 +225,8 @@
             source.in_flight.mark_ended();
             source.in_flight.endpoint.clone()
         });
-        self.call
-            .beliefs
-            .metrics
-            .count_answer("broken", self.status);
-        self.call.beliefs.events.write(&Event::Broken {
+        self.call.state.metrics.count_answer("broken", self.status);
+        self.call.state.events.write(&Event::Broken {
             request: self.call.metadata.id.as_str(),
             endpoint: endpoint.as_ref().map_or("", |id| id.as_str()),
             cause: reason,
--- a/crates/sesamecart-entry/src/traffic/response.rs
+++ b/crates/sesamecart-entry/src/traffic/response.rs
@@ -47,9 +47,7 @@
         let response_head = AnswerHead::read(&head);
         if let Some(load) = response_head.load {
             let now = clock::now();
-            self.beliefs
-                .loads()
-                .reported(now, &in_flight.endpoint, load);
+            self.state.loads().reported(now, &in_flight.endpoint, load);
         }
         if let Some(not_run) = response_head.not_run {
             in_flight.mark_ended();
@@ -86,8 +84,8 @@
         in_flight.record_activity();
         if let Some((_, model)) = self.engine_model() {
             let time_to_head = in_flight.age();
-            self.beliefs
-                .first_events()
+            self.state
+                .first_event_timeouts()
                 .observe(&model.model, time_to_head);
         }
         Ok(EndpointResponse {
@@ -106,7 +104,7 @@
             NotRun::Misdirected => MISDIRECTED_EJECTION_TIME,
             NotRun::Full | NotRun::Rejected => REJECTED_EJECTION_TIME,
         };
-        self.beliefs.loads().eject(now, endpoint, ejection_time);
+        self.state.loads().eject(now, endpoint, ejection_time);
         if response_head
             .at_fault
             .as_ref()
@@ -159,7 +157,7 @@
     pub(crate) fn return_connection(&self, lease: ConnectionLease) {
         let service = self.service().and_then(|id| self.catalog.services.get(id));
         let max_connections = service.map_or(0, |service| service.max_connections as usize);
-        let nodes = self.beliefs.nodes.load().len();
+        let nodes = self.state.nodes.load().len();
         lease.give_back_up_to(max_connections / (nodes.max(1) * IDLE_CONNECTIONS_DIVISOR));
     }
 }
--- a/crates/sesamecart-entry/src/traffic/timeout.rs
+++ b/crates/sesamecart-entry/src/traffic/timeout.rs
@@ -138,15 +138,15 @@
         let (Some(model), true) = (model, is_resumable) else {
             return future::pending().await;
         };
-        let timeout = self.beliefs.first_events().timeout(model);
+        let timeout = self.state.first_event_timeouts().timeout(model);
         sleep(timeout).await;
         let mut tried = attempts.clone();
         tried.tried.push(endpoint.id.clone());
         loop {
-            let is_head_active = self.beliefs.loads().is_heard_since(sent_at, &endpoint.id);
+            let is_head_active = self.state.loads().is_heard_since(sent_at, &endpoint.id);
             if !is_head_active || self.has_faster_head(&tried) {
                 if is_head_active {
-                    self.beliefs.first_events().expire(model);
+                    self.state.first_event_timeouts().expire(model);
                 }
                 let waited = clock::now().since(sent_at);
                 return FirstEventTimeout {
@@ -162,8 +162,7 @@
     /// there.
     fn has_faster_head(&self, tried: &Attempts) -> bool {
         let placement = self.place(tried, ColdEndpointPolicy::Skip);
-        placement.is_ok_and(|placement| {
-            placement.load < 1.0 && self.beliefs.has_retry(&placement.service)
-        })
+        placement
+            .is_ok_and(|placement| placement.load < 1.0 && self.state.has_retry(&placement.service))
     }
 }
--- a/crates/sesamecart-entry/src/watch.rs
+++ b/crates/sesamecart-entry/src/watch.rs
@@ -13,10 +13,10 @@
 use sesamecart_runtime::{Tasks, sleep};
 use sesamecart_vocabulary::EndpointId;
 
-use crate::beliefs::Beliefs;
+use crate::beliefs::EntryState;
 use crate::clock;
 use crate::events::Event;
-use crate::examinations::Examinations;
+use crate::examinations::GroupProber;
 
 /// Interval between two checks for silent heads.
 const CHECK_INTERVAL: Duration = Duration::from_millis(40);
@@ -30,34 +30,32 @@
 /// Checks the heads that this node's requests depend on, until the task is dropped, and sends the groups that
 /// are found lost to `lost_groups`.
 pub(crate) async fn watch_heads(
-    beliefs: Arc<Beliefs>,
-    examinations: Examinations,
+    state: Arc<EntryState>,
+    examinations: GroupProber,
     tasks: Tasks,
     lost_groups: Sender<GroupKey>,
 ) {
     loop {
         sleep(CHECK_INTERVAL).await;
-        let silent = beliefs
-            .loads()
-            .silent(clock::now(), SilenceLimits::default());
+        let silent = state.loads().silent(clock::now(), SilenceLimits::default());
         if silent.is_empty() {
             continue;
         }
-        let directory = beliefs.directory.load_full();
+        let directory = state.directory.load_full();
         for head in silent {
             let endpoint = directory.find(&head);
             // A group that was found lost stays stalled until its head gives up, so a probe yields nothing
             // new.
-            let endpoint = endpoint.filter(|head| !beliefs.is_lost(head));
+            let endpoint = endpoint.filter(|head| !state.is_group_lost(head));
             let Some(key) = endpoint.and_then(|head| head.group_key()) else {
                 continue;
             };
-            let (beliefs, lost_groups) = (Arc::clone(&beliefs), lost_groups.clone());
+            let (state, lost_groups) = (Arc::clone(&state), lost_groups.clone());
             let examinations = examinations.clone();
             tasks.spawn(async move {
                 if !examinations.is_sound(&key).await {
-                    beliefs.metrics.count_group_lost();
-                    beliefs.lose_group(&key);
+                    state.metrics.count_group_lost();
+                    state.mark_group_lost(&key);
                     // The node that detects the loss reports it to the controller. A closed channel means
                     // that the process is shutting down.
                     let _sent = lost_groups.send(key).await;
@@ -77,15 +75,15 @@
 
 /// Probes the members of a group, writes the finding to the decision log and returns the verdict.
 pub(crate) async fn probe_group(
-    beliefs: &Beliefs,
+    state: &EntryState,
     client: &HttpClient,
     key: &GroupKey,
 ) -> GroupProbe {
-    let directory = beliefs.directory.load_full();
-    let (finding, silent) = probe_members(beliefs, &directory, client, key).await;
+    let directory = state.directory.load_full();
+    let (finding, silent) = probe_members(state, &directory, client, key).await;
     let verdict = judge(&finding);
     let others: Vec<String> = finding.others.iter().map(ToString::to_string).collect();
-    beliefs.events.write(&Event::GroupExamined {
+    state.events.write(&Event::GroupExamined {
         group: &key.to_string(),
         verdict: &verdict.to_string(),
         finding: &format!("head {}; members {}", finding.head, others.join(", ")),
@@ -95,11 +93,11 @@
 
 /// Probes only the head of a group.
 pub(crate) async fn probe_head(
-    beliefs: &Beliefs,
+    state: &EntryState,
     client: &HttpClient,
     key: &GroupKey,
 ) -> MemberProbe {
-    let directory = beliefs.directory.load_full();
+    let directory = state.directory.load_full();
     match group_head(&directory, key) {
         Some(head) => probe_member(client, &head, key).await,
         None => MemberProbe::Silent,
@@ -117,7 +115,7 @@
 }
 
 async fn probe_members(
-    beliefs: &Beliefs,
+    state: &EntryState,
     directory: &Directory,
     client: &HttpClient,
     key: &GroupKey,
@@ -140,7 +138,7 @@
             others.push(result);
         }
     }
-    let size = group_size(beliefs, &members);
+    let size = group_size(state, &members);
     others.resize(
         size.saturating_sub(1).max(others.len()),
         MemberProbe::Silent,
@@ -148,8 +146,8 @@
     (Finding { head, others }, silent)
 }
 
-fn group_size(beliefs: &Beliefs, members: &[Arc<Endpoint>]) -> usize {
-    let Some(catalog) = beliefs.catalog.load_full() else {
+fn group_size(state: &EntryState, members: &[Arc<Endpoint>]) -> usize {
+    let Some(catalog) = state.catalog.load_full() else {
         return 0;
     };
     let sizes = members.iter().filter_map(|member| {
--- a/crates/sesamecart-entry/tests/end_to_end/main.rs
+++ b/crates/sesamecart-entry/tests/end_to_end/main.rs
@@ -474,7 +474,7 @@
     let deployment = Deployment::start(EVENTS);
     let reader = deployment.add_node_with_share("n2", 0.5);
     let standby = deployment.add_node_with_share("n3", 0.4);
-    let reads = |node: &Entry| node.beliefs().reads_store();
+    let reads = |node: &Entry| node.state().reads_store();
     // The first node also reads the store because it controls the groups.
     deployment.wait_until("the reader reads the store", || {
         reads(&reader) && !reads(&standby)
@@ -505,7 +505,7 @@
     let deployment = Deployment::start(LONG_STREAM_EVENTS);
     deployment.wait_for_groups(2);
     let other = deployment.add_node("n2", deployment.store.address());
-    let remote_requests = || other.beliefs().requests_elsewhere();
+    let remote_requests = || other.state().peer_requests_in_flight();
     std::thread::scope(|scope| {
         scope.spawn(|| deployment.send_request(RequestKind::Stream, "r1", "key-1"));
         deployment.wait_until("the other node sees the stream", || remote_requests() == 1);
@@ -536,7 +536,7 @@
             "key-1",
             DEFAULT_DEADLINE,
         );
-        let needed = deployment.node.beliefs().needed_groups(&model);
+        let needed = deployment.node.state().estimated_groups_needed(&model);
         needed.is_some_and(|groups| groups > 0.0)
     });
     other.kill();
--- a/crates/sesamecart-entry/tests/end_to_end/many_nodes.rs
+++ b/crates/sesamecart-entry/tests/end_to_end/many_nodes.rs
@@ -12,7 +12,7 @@
 const DOMAINS: [&str; 5] = ["a", "b", "c", "d", "e"];
 
 fn reads(node: &Entry) -> bool {
-    node.beliefs().reads_store()
+    node.state().reads_store()
 }
 
 /// One model needs more engines than any fabric domain has, and nodes in five failure domains serve callers
--- a/crates/sesamecart-entry/tests/end_to_end/setup.rs
+++ b/crates/sesamecart-entry/tests/end_to_end/setup.rs
@@ -137,7 +137,7 @@
     pub(crate) fn wait_for_groups(&self, count: usize) {
         self.wait_until("groups are open", || {
             let open = self.engines.iter().filter(|engine| engine.is_open_head());
-            open.count() >= count && self.node.beliefs().open_groups() >= count
+            open.count() >= count && self.node.state().open_group_count() >= count
         });
     }
 
@@ -220,7 +220,8 @@
     pub(crate) fn readiness_of(&self, node: &Entry) -> u16 {
         let req = Request::get("/readiness").header("host", "node");
         let req = req.body(Full::default()).expect("it is valid");
-        self.send(node.readiness(), req, DEFAULT_DEADLINE).status
+        self.send(node.readiness_address(), req, DEFAULT_DEADLINE)
+            .status
     }
 
     pub(crate) fn send_request(&self, kind: RequestKind, id: &str, key: &str) -> Response {
@@ -261,7 +262,7 @@
                 .header("token-count", "10,80");
         }
         let req = req.body(Full::from("asked")).expect("it is valid");
-        self.send(node.callers(), req, WAIT_TIMEOUT)
+        self.send(node.caller_address(), req, WAIT_TIMEOUT)
     }
 
     fn send(&self, peer: SocketAddr, req: Request<Full<Bytes>>, timeout: Duration) -> Response {
@@ -309,7 +310,7 @@
 }
 
 pub(crate) fn knows_evacuation(node: &Entry, failure_domain: &str) -> bool {
-    let known = node.beliefs().evacuated();
+    let known = node.state().evacuated_domains();
     known.iter().any(|known| known.as_str() == failure_domain)
 }
 
--- a/crates/sesamecart-entry/tests/end_to_end/sources.rs
+++ b/crates/sesamecart-entry/tests/end_to_end/sources.rs
@@ -13,7 +13,7 @@
 const KEY: &str = "evacuate/b";
 
 fn reads(node: &Entry) -> bool {
-    node.beliefs().reads_store()
+    node.state().reads_store()
 }
 
 fn knows(node: &Entry) -> bool {
@@ -45,8 +45,8 @@
     deployment.store.withdraw(KEY);
     let nodes = [&reader, &standby, &follower];
     deployment.wait_until("all nodes have cleared the evacuation", || {
-        let links = reader.beliefs().settings.links;
-        let is_followed = |node: &Entry| node.beliefs().followed() == Some(links);
+        let links = reader.state().settings.links;
+        let is_followed = |node: &Entry| node.state().upstream() == Some(links);
         is_followed(&standby) && is_followed(&follower) && !nodes.iter().any(|node| knows(node))
     });
 
