--- a/crates/sesamecart-entry/src/controller.rs
+++ b/crates/sesamecart-entry/src/controller.rs
@@ -18,14 +18,14 @@
 use sesamecart_runtime::{Tasks, sleep};
 use sesamecart_vocabulary::{ModelId, Timestamp};
 
-use crate::beliefs::EntryState;
 use crate::clock;
 use crate::controller::engines::EngineClient;
 use crate::controller::lease::Lease;
 use crate::controller::observations::follow_observations;
 use crate::controller::steps::{StepOutcome, execute};
 use crate::events::Event;
-use crate::losses;
+use crate::loss_reports;
+use crate::state::EntryState;
 
 /// Interval between two plans when nothing has changed.
 const PLAN_INTERVAL: Duration = Duration::from_millis(100);
@@ -159,7 +159,7 @@
             }
             (Some(term), Wakeup::Plan) => self.plan(term),
             (None, Wakeup::LossDetected(key)) => {
-                losses::report(&self.state, &self.store, &self.links, &key).await;
+                loss_reports::report(&self.state, &self.store, &self.links, &key).await;
             }
             (None, _) => {}
         }
@@ -309,7 +309,7 @@
         let announce = {
             let (state, links) = (Arc::clone(&state), controller.links.clone());
             let tasks = self.tasks.clone();
-            move |key| tasks.spawn(losses::announce(state, links, key))
+            move |key| tasks.spawn(loss_reports::announce(state, links, key))
         };
         self.tasks.spawn(async move {
             let outcome = execute(step, &state, &client, &engines, announce).await;
--- a/crates/sesamecart-entry/src/controller/engines.rs
+++ b/crates/sesamecart-entry/src/controller/engines.rs
@@ -11,9 +11,9 @@
 use sesamecart_runtime::sleep;
 use sesamecart_vocabulary::EndpointId;
 
-use crate::beliefs::EntryState;
 use crate::controller::lease::Lease;
 use crate::events::Event;
+use crate::state::EntryState;
 use crate::watch::{MAX_PROBES, PROBE_TIMEOUT};
 
 /// Timeout of an order. A live engine answers within a few milliseconds.
--- a/crates/sesamecart-entry/src/controller/lease.rs
+++ b/crates/sesamecart-entry/src/controller/lease.rs
@@ -9,10 +9,10 @@
 use sesamecart_runtime::sleep;
 use sesamecart_vocabulary::Timestamp;
 
-use crate::beliefs::EntryState;
 use crate::clock;
 use crate::events::Event;
 use crate::follower::Dependency;
+use crate::state::EntryState;
 
 /// How long the store keeps a member that doesn't renew. After that, another node takes over.
 ///
--- a/crates/sesamecart-entry/src/controller/observations.rs
+++ b/crates/sesamecart-entry/src/controller/observations.rs
@@ -7,7 +7,7 @@
 use sesamecart_platform::{Offset, Read, Record, Store, Topic};
 use sesamecart_runtime::sleep;
 
-use crate::losses;
+use crate::loss_reports;
 
 /// How long the store waits for records before it answers a read of observations that finds none.
 const LONG_POLL_TIMEOUT: Duration = Duration::from_millis(2_000);
@@ -54,5 +54,5 @@
 }
 
 fn parse_observation(record: &Record) -> Option<GroupKey> {
-    losses::parse_group_key(std::str::from_utf8(record.value.as_deref()?).ok()?)
+    loss_reports::parse_group_key(std::str::from_utf8(record.value.as_deref()?).ok()?)
 }
--- a/crates/sesamecart-entry/src/controller/steps.rs
+++ b/crates/sesamecart-entry/src/controller/steps.rs
@@ -6,9 +6,9 @@
 use sesamecart_platform::{Order, OrderOutcome};
 use sesamecart_vocabulary::EndpointId;
 
-use crate::beliefs::EntryState;
 use crate::controller::engines::EngineClient;
 use crate::events::Event;
+use crate::state::EntryState;
 use crate::watch::{self, GroupProbe};
 
 /// The outcome of an executed step.
--- a/crates/sesamecart-entry/src/feed/server.rs
+++ b/crates/sesamecart-entry/src/feed/server.rs
@@ -14,13 +14,13 @@
 use sesamecart_platform::Store;
 use sesamecart_runtime::{ByteCount, Tasks, sleep};
 
-use crate::beliefs::EntryState;
 use crate::clock;
-use crate::examinations::GroupProber;
-use crate::exchange::{self, Changes};
 use crate::feed::has_updates;
 use crate::follower::millis;
-use crate::losses::{parse_group_key, report_to_store};
+use crate::group_prober::GroupProber;
+use crate::loss_reports::{parse_group_key, report_to_store};
+use crate::peer_loads::{self, Changes};
+use crate::state::EntryState;
 
 /// The longest time for which a follower's call is held: twice what followers request, and half of the 2 s
 /// after which a link cancels a call.
@@ -29,21 +29,21 @@
 struct FeedHandler {
     state: Arc<EntryState>,
     store: Store,
-    examinations: GroupProber,
+    group_prober: GroupProber,
 }
 
 /// Serves the calls of followers until the task is cancelled.
 pub(crate) async fn serve(
     state: Arc<EntryState>,
     store: Store,
-    examinations: GroupProber,
+    group_prober: GroupProber,
     listener: TcpListener,
     tasks: Tasks,
 ) {
     let handler = FeedHandler {
         state,
         store,
-        examinations,
+        group_prober,
     };
     let served = sesamecart_links::serve_feed(listener, handler, tasks, ByteCount::default());
     if let Err(error) = served.await {
@@ -95,7 +95,7 @@
         request: Request<GroupLoss>,
     ) -> Result<Response<GroupVerdict>, Status> {
         let key = decode_group(&request)?;
-        let verdict = self.examinations.verdict(&key).await;
+        let verdict = self.group_prober.verdict(&key).await;
         Ok(Response::new(GroupVerdict {
             is_sound: verdict == Verdict::Sound,
         }))
@@ -116,7 +116,7 @@
         &self,
         _request: Request<WatchLoadsRequest>,
     ) -> Result<Response<Changes>, Status> {
-        Ok(Response::new(exchange::changes(Arc::clone(&self.state))))
+        Ok(Response::new(peer_loads::changes(Arc::clone(&self.state))))
     }
 
     async fn announce_loss(&self, request: Request<GroupLoss>) -> Result<Response<Noted>, Status> {
--- a/crates/sesamecart-entry/src/follower.rs
+++ b/crates/sesamecart-entry/src/follower.rs
@@ -15,12 +15,12 @@
 use sesamecart_runtime::sleep;
 use sesamecart_vocabulary::Timestamp;
 
-use crate::beliefs::EntryState;
 use crate::clock;
 use crate::events::Event;
 use crate::follower::operator::OperatorState;
 use crate::follower::registry::RegistryState;
 pub(crate) use crate::follower::source_follower::Following;
+use crate::state::EntryState;
 
 /// The long-poll timeout for reads of the operator topic, as a fraction of `bounds.configuration_ms`.
 ///
--- a/crates/sesamecart-entry/src/follower/nodes.rs
+++ b/crates/sesamecart-entry/src/follower/nodes.rs
@@ -10,7 +10,7 @@
 use sesamecart_vocabulary::NodeId;
 
 use super::{Dependency, RETRY_DELAY, log_ignored_record};
-use crate::beliefs::EntryState;
+use crate::state::EntryState;
 
 #[cfg(test)]
 mod tests;
--- a/crates/sesamecart-entry/src/follower/nodes/tests.rs
+++ b/crates/sesamecart-entry/src/follower/nodes/tests.rs
@@ -4,9 +4,9 @@
 use sesamecart_platform::{Offset, Record, StoredRecord, Topic};
 use sesamecart_vocabulary::Timestamp;
 
-use crate::beliefs::EntryState;
 use crate::feed::Feed;
 use crate::follower::peer::update_nodes;
+use crate::state::EntryState;
 use crate::testkit::new_state;
 
 const NOW: Timestamp = Timestamp(10_000_000);
--- a/crates/sesamecart-entry/src/follower/operator.rs
+++ b/crates/sesamecart-entry/src/follower/operator.rs
@@ -10,8 +10,8 @@
 use sesamecart_vocabulary::FailureDomainId;
 
 use super::log_ignored_record;
-use crate::beliefs::EntryState;
 use crate::events::Event;
+use crate::state::EntryState;
 
 /// The failure domains that the operator has evacuated.
 #[derive(Default)]
--- a/crates/sesamecart-entry/src/follower/peer.rs
+++ b/crates/sesamecart-entry/src/follower/peer.rs
@@ -15,10 +15,10 @@
 use super::RETRY_DELAY;
 use super::nodes::{apply_nodes, replace_nodes};
 use super::source_follower::{Following, PREFERRED_PROBE_INTERVAL, SwitchReason};
-use crate::beliefs::EntryState;
 use crate::clock;
 use crate::events::Event;
-use crate::losses::parse_group_key;
+use crate::loss_reports::parse_group_key;
+use crate::state::EntryState;
 
 /// How long the other node holds a call while there are no updates.
 ///
--- a/crates/sesamecart-entry/src/follower/registry.rs
+++ b/crates/sesamecart-entry/src/follower/registry.rs
@@ -9,9 +9,9 @@
 use sesamecart_vocabulary::{EndpointId, ModelId, Timestamp};
 
 use super::log_ignored_record;
-use crate::beliefs::EntryState;
 use crate::clock;
 use crate::events::Event;
+use crate::state::EntryState;
 
 /// How long after an outage of the store a missing entry is kept before its endpoint is removed.
 ///
--- a/crates/sesamecart-entry/src/follower/source_follower.rs
+++ b/crates/sesamecart-entry/src/follower/source_follower.rs
@@ -18,9 +18,9 @@
 use super::peer::Position;
 use super::registry::RegistryState;
 use super::{Dependency, RETRY_DELAY, TopicFollower, TopicState};
-use crate::beliefs::EntryState;
 use crate::clock;
 use crate::events::Event;
+use crate::state::EntryState;
 
 /// How long a node follows a source before it probes the sources that it prefers to it.
 ///
--- a/crates/sesamecart-entry/src/examinations.rs
+++ b/crates/sesamecart-entry/src/group_prober.rs
@@ -18,9 +18,9 @@
 use sesamecart_runtime::within;
 use sesamecart_vocabulary::Timestamp;
 
-use crate::beliefs::EntryState;
 use crate::clock;
 use crate::events::Event;
+use crate::state::EntryState;
 use crate::watch;
 
 /// How long a verdict is cached. A loss that happens later is found by the next probe.
--- a/crates/sesamecart-entry/src/lib.rs
+++ b/crates/sesamecart-entry/src/lib.rs
@@ -4,25 +4,25 @@
 //! thread forwards the requests of callers. They share [`EntryState`]: the state of the node and its age.
 //! docs/design/platform-run.md explains the design.
 
-mod beliefs;
 mod clock;
 mod controller;
 mod events;
-mod examinations;
-mod exchange;
 mod feed;
 mod follower;
-mod losses;
+mod group_prober;
+mod loss_reports;
 mod metrics;
 mod node;
+mod peer_loads;
 mod settings;
+mod state;
 #[cfg(test)]
 mod testkit;
 mod traffic;
 mod watch;
 
-pub use beliefs::EntryState;
 pub use events::{Event, EventLog};
 pub use metrics::Metrics;
 pub use node::{Entry, StartError, run};
 pub use settings::{EntrySettings, SettingsError};
+pub use state::EntryState;
--- a/crates/sesamecart-entry/src/losses.rs
+++ b/crates/sesamecart-entry/src/loss_reports.rs
@@ -15,9 +15,9 @@
 use sesamecart_platform::{Expected, Record, Store, Topic};
 use sesamecart_runtime::within;
 
-use crate::beliefs::EntryState;
 use crate::clock;
 use crate::events::Event;
+use crate::state::EntryState;
 
 /// Timeout of a request that reports a loss to another node. A live node answers within milliseconds.
 const LOSS_REPORT_TIMEOUT: Duration = Duration::from_millis(300);
--- a/crates/sesamecart-entry/src/node.rs
+++ b/crates/sesamecart-entry/src/node.rs
@@ -17,15 +17,15 @@
 use sesamecart_runtime::{ByteCount, Signal, Trigger, Worker, listen, sleep};
 use sesamecart_vocabulary::NodeId;
 
-use crate::beliefs::EntryState;
 use crate::controller::Controller;
 use crate::events::{Event, EventLog};
-use crate::examinations::GroupProber;
-use crate::exchange;
 use crate::feed;
 use crate::follower::Following;
+use crate::group_prober::GroupProber;
 use crate::metrics::Metrics;
+use crate::peer_loads;
 use crate::settings::EntrySettings;
+use crate::state::EntryState;
 use crate::{traffic, watch};
 
 /// How long the load balancer takes to notice that a node isn't ready: it checks once a second and removes a
@@ -255,22 +255,22 @@
     let links = Links::new(tasks.clone(), ByteCount::default());
     let following = Following::new(Arc::clone(state), store.clone(), links.clone(), change_tx);
     tasks.spawn(following.run());
-    let examinations = GroupProber::new(Arc::clone(state), client.clone(), links.clone());
+    let group_prober = GroupProber::new(Arc::clone(state), client.clone(), links.clone());
     tasks.spawn(feed::serve(
         Arc::clone(state),
         store.clone(),
-        examinations.clone(),
+        group_prober.clone(),
         listeners.links,
         tasks.clone(),
     ));
-    tasks.spawn(exchange::watch_peers(
+    tasks.spawn(peer_loads::watch_peers(
         Arc::clone(state),
         links.clone(),
         tasks.clone(),
     ));
     tasks.spawn(watch::watch_heads(
         Arc::clone(state),
-        examinations,
+        group_prober,
         tasks.clone(),
         loss_tx,
     ));
--- a/crates/sesamecart-entry/src/exchange.rs
+++ b/crates/sesamecart-entry/src/peer_loads.rs
@@ -1,9 +1,9 @@
-//! Exchange of load information between entry nodes.
+//! The loads that entry nodes send each other.
 //!
 //! Many nodes choose among the same group heads. A node knows its own requests, but learns of the requests of
-//! other nodes only when a head responds to it. Without an exchange it can't see a prompt that another node
-//! has just sent: two prompts then meet at one head, and the second caller waits while another head is idle.
-//! Each node therefore sends its in-flight load to its peers at once or shortly after a change.
+//! other nodes only when a head responds to it. That is too late for a prompt that another node has just sent:
+//! two prompts then meet at one head, and the second caller waits while another head is idle. Each node
+//! therefore sends its in-flight load to its peers at once or shortly after a change.
 //! docs/decisions-under-faults.md describes the effect.
 
 mod changes;
@@ -18,11 +18,11 @@
 use sesamecart_runtime::{Tasks, sleep, within};
 use sesamecart_vocabulary::{EndpointId, NodeId, Timestamp};
 
-use crate::beliefs::EntryState;
 use crate::clock;
 use crate::events::Event;
-pub(crate) use crate::exchange::changes::{Changes, changes};
 use crate::follower::millis;
+pub(crate) use crate::peer_loads::changes::{Changes, changes};
+use crate::state::EntryState;
 
 const MILLI_GROUPS_PER_GROUP: f64 = 1_000.0;
 
--- a/crates/sesamecart-entry/src/exchange/changes.rs
+++ b/crates/sesamecart-entry/src/peer_loads/changes.rs
@@ -14,9 +14,9 @@
 use sesamecart_vocabulary::{EndpointId, Timestamp};
 
 use super::MILLI_GROUPS_PER_GROUP;
-use crate::beliefs::EntryState;
 use crate::clock;
 use crate::follower::millis;
+use crate::state::EntryState;
 
 /// How long changes are batched before the next message is sent. This is a tenth of an engine's forward pass,
 /// so the loads are still current when they arrive, and all changes in that time share one message.
--- a/crates/sesamecart-entry/src/beliefs.rs
+++ b/crates/sesamecart-entry/src/state.rs
@@ -16,12 +16,12 @@
 use sesamecart_runtime::{Signal, Trigger};
 use sesamecart_vocabulary::{EndpointId, FailureDomainId, ModelId, ServiceId, Timestamp};
 
-use crate::beliefs::budgets::Contentions;
 use crate::clock;
 use crate::events::EventLog;
 use crate::feed::Feed;
 use crate::metrics::Metrics;
 use crate::settings::EntrySettings;
+use crate::state::budgets::Contentions;
 
 pub(crate) mod budgets;
 #[cfg(test)]
--- a/crates/sesamecart-entry/src/testkit.rs
+++ b/crates/sesamecart-entry/src/testkit.rs
@@ -4,10 +4,10 @@
 
 use serde_json::json;
 
-use crate::beliefs::EntryState;
 use crate::events::EventLog;
 use crate::metrics::Metrics;
 use crate::settings::EntrySettings;
+use crate::state::EntryState;
 
 /// Creates the state of a node `n1` that has read nothing yet.
 pub(crate) fn new_state(first_start: bool) -> EntryState {
--- a/crates/sesamecart-entry/src/traffic.rs
+++ b/crates/sesamecart-entry/src/traffic.rs
@@ -18,7 +18,7 @@
 use sesamecart_edges::{HttpClient, ServerLimits};
 use sesamecart_runtime::{Signal, Worker};
 
-use crate::beliefs::EntryState;
+use crate::state::EntryState;
 use crate::traffic::handler::Handler;
 
 /// How long opening a connection to an endpoint may take.
--- a/crates/sesamecart-entry/src/traffic/call.rs
+++ b/crates/sesamecart-entry/src/traffic/call.rs
@@ -12,10 +12,10 @@
 use sesamecart_platform::Asked;
 use sesamecart_vocabulary::{EndpointId, Timestamp};
 
-use crate::beliefs::EntryState;
 use crate::clock;
 use crate::events::Event;
 use crate::follower::millis;
+use crate::state::EntryState;
 use crate::traffic::in_flight::InFlightRequest;
 use crate::traffic::placement::{ColdEndpointPolicy, Placement};
 use crate::traffic::refusal::Refusal;
--- a/crates/sesamecart-entry/src/traffic/handler.rs
+++ b/crates/sesamecart-entry/src/traffic/handler.rs
@@ -13,10 +13,10 @@
 use sesamecart_platform::{Asked, forwarded_headers};
 use sesamecart_vocabulary::{EndpointId, Timestamp};
 
-use crate::beliefs::EntryState;
 use crate::clock;
 use crate::events::Event;
 use crate::follower::millis;
+use crate::state::EntryState;
 use crate::traffic::call::{Attempts, Call, EndpointResponse};
 use crate::traffic::refusal::Refusal;
 use crate::traffic::relay::Relay;
--- a/crates/sesamecart-entry/src/traffic/in_flight.rs
+++ b/crates/sesamecart-entry/src/traffic/in_flight.rs
@@ -7,10 +7,10 @@
 use sesamecart_runtime::Signal;
 use sesamecart_vocabulary::{EndpointId, RequestId, Timestamp};
 
-use crate::beliefs::EntryState;
 use crate::clock;
 use crate::events::Event;
 use crate::follower::millis;
+use crate::state::EntryState;
 
 /// A request in flight at an endpoint.
 ///
--- a/crates/sesamecart-entry/src/traffic/placement.rs
+++ b/crates/sesamecart-entry/src/traffic/placement.rs
@@ -6,8 +6,8 @@
 use sesamecart_fleet::{Candidate, Endpoint, Unavailable, WeightedService};
 use sesamecart_vocabulary::{ServiceId, stable_hash};
 
-use crate::beliefs::budgets::Pool;
 use crate::clock;
+use crate::state::budgets::Pool;
 use crate::traffic::call::{Attempts, Call};
 use crate::traffic::refusal::Refusal;
 
--- a/crates/sesamecart-entry/src/watch.rs
+++ b/crates/sesamecart-entry/src/watch.rs
@@ -13,10 +13,10 @@
 use sesamecart_runtime::{Tasks, sleep};
 use sesamecart_vocabulary::EndpointId;
 
-use crate::beliefs::EntryState;
 use crate::clock;
 use crate::events::Event;
-use crate::examinations::GroupProber;
+use crate::group_prober::GroupProber;
+use crate::state::EntryState;
 
 /// Interval between two checks for silent heads.
 const CHECK_INTERVAL: Duration = Duration::from_millis(40);
@@ -31,7 +31,7 @@
 /// are found lost to `lost_groups`.
 pub(crate) async fn watch_heads(
     state: Arc<EntryState>,
-    examinations: GroupProber,
+    group_prober: GroupProber,
     tasks: Tasks,
     lost_groups: Sender<GroupKey>,
 ) {
@@ -51,9 +51,9 @@
                 continue;
             };
             let (state, lost_groups) = (Arc::clone(&state), lost_groups.clone());
-            let examinations = examinations.clone();
+            let group_prober = group_prober.clone();
             tasks.spawn(async move {
-                if !examinations.is_sound(&key).await {
+                if !group_prober.is_sound(&key).await {
                     state.metrics.count_group_lost();
                     state.mark_group_lost(&key);
                     // The node that detects the loss reports it to the controller. A closed channel means
--- a/crates/sesamecart-entry/tests/end_to_end/main.rs
+++ b/crates/sesamecart-entry/tests/end_to_end/main.rs
@@ -395,7 +395,7 @@
     for engine in &deployment.engines {
         engine.set_lasting_silence(true);
     }
-    // A stream on each head makes the node examine its group.
+    // A stream on each head makes the node probe its group.
     for request in 0..4 {
         let id = format!("lost-{request}");
         let deadline = std::time::Duration::from_millis(1_500);
