--- a/crates/sesamecart-entry/src/controller/lease.rs
+++ b/crates/sesamecart-entry/src/controller/lease.rs
@@ -94,7 +94,7 @@
             let sent = clock::now();
             match self.store.join(&self.member, ttl, generation).await {
                 Ok(joined) => {
-                    let _was_unavailable = dependency.answered(&self.state);
+                    let _was_unavailable = dependency.record_success(&self.state);
                     generation = joined.generation;
                     let is_refused = generation <= self.highest_refused.load(Ordering::Acquire);
                     if joined.holds && is_refused {
@@ -109,7 +109,7 @@
                     });
                     self.set_held(held, "the store says so");
                 }
-                Err(error) => dependency.failed(&self.state, &error),
+                Err(error) => dependency.record_failure(&self.state, &error),
             }
             if self.state.is_leaving() {
                 return self.release("the node is leaving").await;
--- a/crates/sesamecart-entry/src/feed.rs
+++ b/crates/sesamecart-entry/src/feed.rs
@@ -115,7 +115,7 @@
     }
 
     /// Records the loss of a group. Returns `false` if the loss was already recorded.
-    pub(crate) fn note_loss(&self, now: Timestamp, key: &GroupKey) -> bool {
+    pub(crate) fn record_loss(&self, now: Timestamp, key: &GroupKey) -> bool {
         let group = key.to_string();
         let mut state = self.state();
         state
--- a/crates/sesamecart-entry/src/feed/server.rs
+++ b/crates/sesamecart-entry/src/feed/server.rs
@@ -19,7 +19,7 @@
 use crate::follower::millis;
 use crate::group_prober::GroupProber;
 use crate::loss_reports::{parse_group_key, report_to_store};
-use crate::peer_loads::{self, Changes};
+use crate::peer_loads::{self, LoadChangesStream};
 use crate::state::EntryState;
 
 /// The longest time for which a follower's call is held: twice what followers request, and half of the 2 s
@@ -110,19 +110,21 @@
         Ok(Response::new(Noted {}))
     }
 
-    type WatchLoadsStream = Changes;
+    type WatchLoadsStream = LoadChangesStream;
 
     async fn watch_loads(
         &self,
         _request: Request<WatchLoadsRequest>,
-    ) -> Result<Response<Changes>, Status> {
-        Ok(Response::new(peer_loads::changes(Arc::clone(&self.state))))
+    ) -> Result<Response<LoadChangesStream>, Status> {
+        Ok(Response::new(peer_loads::load_changes(Arc::clone(
+            &self.state,
+        ))))
     }
 
     async fn announce_loss(&self, request: Request<GroupLoss>) -> Result<Response<Noted>, Status> {
         let key = decode_group(&request)?;
         self.state.mark_group_lost(&key);
-        self.state.feed.note_loss(clock::now(), &key);
+        self.state.feed.record_loss(clock::now(), &key);
         Ok(Response::new(Noted {}))
     }
 }
--- a/crates/sesamecart-entry/src/feed/tests.rs
+++ b/crates/sesamecart-entry/src/feed/tests.rs
@@ -210,8 +210,8 @@
         group: "g1".parse().expect("a valid group name"),
         epoch: "7".parse().expect("a valid epoch"),
     };
-    assert!(feed.note_loss(NOW, &key));
-    assert!(!feed.note_loss(NOW, &key), "the loss is already recorded");
+    assert!(feed.record_loss(NOW, &key));
+    assert!(!feed.record_loss(NOW, &key), "the loss is already recorded");
     let reply = request_update(&feed, 10);
     assert_eq!(reply.losses, ["g1@7"]);
     let seen = FollowRequest {
@@ -234,5 +234,8 @@
         .expect("the feed is serving");
     assert_eq!(again.losses, ["g1@7"]);
     let later = NOW + LOSS_RETENTION + Duration::from_millis(1);
-    assert!(feed.note_loss(later, &key), "the earlier loss has expired");
+    assert!(
+        feed.record_loss(later, &key),
+        "the earlier loss has expired"
+    );
 }
--- a/crates/sesamecart-entry/src/follower.rs
+++ b/crates/sesamecart-entry/src/follower.rs
@@ -19,7 +19,7 @@
 use crate::events::Event;
 use crate::follower::operator::OperatorState;
 use crate::follower::registry::RegistryState;
-pub(crate) use crate::follower::source_follower::Following;
+pub(crate) use crate::follower::source_follower::SourceFollower;
 use crate::state::EntryState;
 
 /// The long-poll timeout for reads of the operator topic, as a fraction of `bounds.configuration_ms`.
@@ -65,7 +65,7 @@
         }
     }
 
-    pub(crate) fn failed(&mut self, state: &EntryState, cause: &StoreError) {
+    pub(crate) fn record_failure(&mut self, state: &EntryState, cause: &StoreError) {
         state.metrics.count_store_failure();
         if self.unavailable_since.is_some() {
             return;
@@ -79,7 +79,7 @@
     }
 
     /// Records a successful call. Returns whether the dependency was unavailable before it.
-    pub(crate) fn answered(&mut self, state: &EntryState) -> bool {
+    pub(crate) fn record_success(&mut self, state: &EntryState) -> bool {
         let Some(unavailable_since) = self.unavailable_since.take() else {
             return false;
         };
@@ -117,7 +117,7 @@
             match self.read_snapshot().await {
                 Ok(from) => self.follow(from, timeout).await,
                 Err(error) => {
-                    self.dependency.failed(self.state, &error);
+                    self.dependency.record_failure(self.state, &error);
                     sleep(RETRY_DELAY).await;
                 }
             }
@@ -149,7 +149,7 @@
             records.extend(page.records);
             next = page.next;
         }
-        let was_unavailable = self.dependency.answered(self.state);
+        let was_unavailable = self.dependency.record_success(self.state);
         if was_unavailable {
             self.state.feed.record_recovery(clock::now());
         }
@@ -167,7 +167,7 @@
             let sent = clock::now();
             match self.store.read(self.topic, from, poll_timeout).await {
                 Ok(Read::Records { next, end, records }) => {
-                    let was_unavailable = self.dependency.answered(self.state);
+                    let was_unavailable = self.dependency.record_success(self.state);
                     if end < from {
                         return;
                     }
@@ -183,7 +183,7 @@
                 }
                 Ok(Read::Trimmed { .. }) => return,
                 Err(error) => {
-                    self.dependency.failed(self.state, &error);
+                    self.dependency.record_failure(self.state, &error);
                     sleep(RETRY_DELAY).await;
                     if self.is_unavailable_for(timeout) {
                         return;
--- a/crates/sesamecart-entry/src/follower/nodes.rs
+++ b/crates/sesamecart-entry/src/follower/nodes.rs
@@ -86,14 +86,14 @@
     async fn read(&mut self, state: &EntryState, store: &Store) -> Option<Vec<PeerNode>> {
         match read_nodes(store).await {
             Ok(page) => {
-                let _was_unavailable = self.dependency.answered(state);
+                let _was_unavailable = self.dependency.record_success(state);
                 let _summary = state.feed.replace(Topic::Nodes, &page.records, page.end);
                 let records = page.records.into_iter().map(|stored| stored.record);
                 let records: Vec<Record> = records.collect();
                 Some(replace_nodes(state, &records, &IndexSet::new()))
             }
             Err(error) => {
-                self.dependency.failed(state, &error);
+                self.dependency.record_failure(state, &error);
                 None
             }
         }
@@ -115,7 +115,7 @@
             .append(Topic::Nodes, &record, Expected::Anything)
             .await;
         if let Err(error) = &appended {
-            self.dependency.failed(state, error);
+            self.dependency.record_failure(state, error);
         }
         appended.is_ok()
     }
--- a/crates/sesamecart-entry/src/follower/peer.rs
+++ b/crates/sesamecart-entry/src/follower/peer.rs
@@ -14,7 +14,7 @@
 
 use super::RETRY_DELAY;
 use super::nodes::{apply_nodes, replace_nodes};
-use super::source_follower::{Following, PREFERRED_PROBE_INTERVAL, SwitchReason};
+use super::source_follower::{PREFERRED_PROBE_INTERVAL, SourceFollower, SwitchReason};
 use crate::clock;
 use crate::events::Event;
 use crate::loss_reports::parse_group_key;
@@ -84,7 +84,7 @@
     Incomplete,
 }
 
-impl Following {
+impl SourceFollower {
     /// Follows the node at `links` until it fails, becomes stale, or a preferred source serves again.
     pub(super) async fn follow_node(&mut self, links: SocketAddr) -> SwitchReason {
         let configuration_bound =
--- a/crates/sesamecart-entry/src/follower/source_follower.rs
+++ b/crates/sesamecart-entry/src/follower/source_follower.rs
@@ -46,7 +46,7 @@
 const STANDBY_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Follows all topics, from one source at a time.
-pub(crate) struct Following {
+pub(crate) struct SourceFollower {
     pub(super) state: Arc<EntryState>,
     pub(super) store: Store,
     pub(super) links: Links,
@@ -58,7 +58,7 @@
     registry_store: Dependency,
 }
 
-impl Following {
+impl SourceFollower {
     /// Creates a follower that sends a notification to `changed` for each change of the registry.
     pub(crate) fn new(
         state: Arc<EntryState>,
--- a/crates/sesamecart-entry/src/loss_reports.rs
+++ b/crates/sesamecart-entry/src/loss_reports.rs
@@ -63,7 +63,7 @@
 /// Announces a loss that the controller has confirmed to all nodes: to those that follow this node, and
 /// through the other store readers to those that follow them.
 pub(crate) async fn announce(state: Arc<EntryState>, links: Links, key: GroupKey) {
-    if !state.feed.note_loss(clock::now(), &key) {
+    if !state.feed.record_loss(clock::now(), &key) {
         return;
     }
     let nodes = state.nodes.load_full();
--- a/crates/sesamecart-entry/src/node.rs
+++ b/crates/sesamecart-entry/src/node.rs
@@ -20,7 +20,7 @@
 use crate::controller::Controller;
 use crate::events::{Event, EventLog};
 use crate::feed;
-use crate::follower::Following;
+use crate::follower::SourceFollower;
 use crate::group_prober::GroupProber;
 use crate::metrics::Metrics;
 use crate::peer_loads;
@@ -253,8 +253,9 @@
     let (change_tx, registry_changed) = async_channel::bounded(1);
     let (loss_tx, lost_groups) = async_channel::unbounded();
     let links = Links::new(tasks.clone(), ByteCount::default());
-    let following = Following::new(Arc::clone(state), store.clone(), links.clone(), change_tx);
-    tasks.spawn(following.run());
+    let source_follower =
+        SourceFollower::new(Arc::clone(state), store.clone(), links.clone(), change_tx);
+    tasks.spawn(source_follower.run());
     let group_prober = GroupProber::new(Arc::clone(state), client.clone(), links.clone());
     tasks.spawn(feed::serve(
         Arc::clone(state),
--- a/crates/sesamecart-entry/src/peer_loads.rs
+++ b/crates/sesamecart-entry/src/peer_loads.rs
@@ -21,7 +21,7 @@
 use crate::clock;
 use crate::events::Event;
 use crate::follower::millis;
-pub(crate) use crate::peer_loads::changes::{Changes, changes};
+pub(crate) use crate::peer_loads::changes::{LoadChangesStream, load_changes};
 use crate::state::EntryState;
 
 const MILLI_GROUPS_PER_GROUP: f64 = 1_000.0;
--- a/crates/sesamecart-entry/src/peer_loads/changes.rs
+++ b/crates/sesamecart-entry/src/peer_loads/changes.rs
@@ -29,10 +29,10 @@
 const DEMAND_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The stream of this node's load changes for one watching peer.
-pub(crate) type Changes = Pin<Box<dyn Stream<Item = Result<LoadChanges, Status>> + Send>>;
+pub(crate) type LoadChangesStream = Pin<Box<dyn Stream<Item = Result<LoadChanges, Status>> + Send>>;
 
 /// Returns the changes of this node's loads as they occur.
-pub(crate) fn changes(state: Arc<EntryState>) -> Changes {
+pub(crate) fn load_changes(state: Arc<EntryState>) -> LoadChangesStream {
     let initial = (state, SentState::default());
     let changes = stream::unfold(initial, |(state, mut sent)| async move {
         sleep(BATCH_DELAY).await;
