--- a/crates/sesamecart-entry/src/events.rs
+++ b/crates/sesamecart-entry/src/events.rs
@@ -161,7 +161,7 @@
         /// The number of keys that are no longer in the topic.
         gone: usize,
     },
-    /// A record or an answer couldn't be parsed or used.
+    /// A record or a response couldn't be parsed or used.
     RecordIgnored {
         /// The topic or other source of it.
         topic: &'a str,
@@ -268,7 +268,7 @@
         /// Milliseconds since the request arrived.
         after_ms: u64,
     },
-    /// The node answered a request itself, without an endpoint.
+    /// The node responded to a request itself, without an endpoint.
     Refused {
         /// The request.
         request: &'a str,
@@ -285,7 +285,7 @@
         /// Milliseconds since the request arrived.
         after_ms: u64,
     },
-    /// A request got the complete answer of an endpoint.
+    /// A request got the complete response of an endpoint.
     Answered {
         /// The request.
         request: &'a str,
@@ -297,7 +297,7 @@
         attempts: u32,
         /// The route of the request.
         route: &'a str,
-        /// Milliseconds to the answer, or to the first event.
+        /// Milliseconds to the response, or to the first event.
         first_ms: u64,
         /// The longest pause between events, in milliseconds.
         pause_ms: u64,
@@ -328,7 +328,7 @@
         /// Milliseconds since the request arrived.
         after_ms: u64,
     },
-    /// The caller disconnected before the answer was complete.
+    /// The caller disconnected before the response was complete.
     CallerLeft {
         /// The request.
         request: &'a str,
--- a/crates/sesamecart-entry/src/feed.rs
+++ b/crates/sesamecart-entry/src/feed.rs
@@ -30,12 +30,12 @@
 #[derive(Debug)]
 pub(crate) struct Feed {
     id: u64,
-    state: Mutex<State>,
+    state: Mutex<FeedState>,
     changed: Changed,
 }
 
 #[derive(Debug, Default)]
-struct State {
+struct FeedState {
     topics: [Option<TopicFeed>; TOPICS.len()],
     /// Whether each topic was read since this node last began to read the store. The feed serves once all
     /// were.
@@ -61,7 +61,7 @@
         }
     }
 
-    fn state(&self) -> MutexGuard<'_, State> {
+    fn state(&self) -> MutexGuard<'_, FeedState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
--- a/crates/sesamecart-entry/src/feed/server.rs
+++ b/crates/sesamecart-entry/src/feed/server.rs
@@ -94,7 +94,7 @@
         &self,
         request: Request<GroupLoss>,
     ) -> Result<Response<GroupVerdict>, Status> {
-        let key = decode_group(&request)?;
+        let key = decode_group_key(&request)?;
         let verdict = self.group_prober.verdict(&key).await;
         Ok(Response::new(GroupVerdict {
             is_sound: verdict == Verdict::Sound,
@@ -102,7 +102,7 @@
     }
 
     async fn report_loss(&self, request: Request<GroupLoss>) -> Result<Response<Noted>, Status> {
-        let key = decode_group(&request)?;
+        let key = decode_group_key(&request)?;
         // Many followers detect the same loss at once, and one report to the controller is enough.
         if self.state.mark_loss_reported(&key) {
             report_to_store(&self.state, &self.store, &key).await;
@@ -122,14 +122,14 @@
     }
 
     async fn announce_loss(&self, request: Request<GroupLoss>) -> Result<Response<Noted>, Status> {
-        let key = decode_group(&request)?;
+        let key = decode_group_key(&request)?;
         self.state.mark_group_lost(&key);
         self.state.feed.record_loss(clock::now(), &key);
         Ok(Response::new(Noted {}))
     }
 }
 
-fn decode_group(req: &Request<GroupLoss>) -> Result<GroupKey, Status> {
+fn decode_group_key(req: &Request<GroupLoss>) -> Result<GroupKey, Status> {
     parse_group_key(&req.get_ref().group)
         .ok_or_else(|| Status::invalid_argument("the group isn't of the form name@epoch"))
 }
--- a/crates/sesamecart-entry/src/follower.rs
+++ b/crates/sesamecart-entry/src/follower.rs
@@ -50,7 +50,7 @@
 /// The delay before a failed read is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(150);
 
-/// The availability of a dependency. Its loss and its recovery are each logged once.
+/// The availability of a dependency. Each outage and each recovery is logged once.
 #[derive(Debug)]
 pub(crate) struct Dependency {
     name: &'static str,
@@ -65,6 +65,7 @@
         }
     }
 
+    /// Records a failed call.
     pub(crate) fn record_failure(&mut self, state: &EntryState, cause: &StoreError) {
         state.metrics.count_store_failure();
         if self.unavailable_since.is_some() {
--- a/crates/sesamecart-entry/src/follower/peer.rs
+++ b/crates/sesamecart-entry/src/follower/peer.rs
@@ -85,8 +85,8 @@
 }
 
 impl SourceFollower {
-    /// Follows the node at `links` until it fails, becomes stale, or a preferred source serves again.
-    pub(super) async fn follow_node(&mut self, links: SocketAddr) -> SwitchReason {
+    /// Follows the node at `address` until it fails, becomes stale, or a preferred source serves again.
+    pub(super) async fn follow_node(&mut self, address: SocketAddr) -> SwitchReason {
         let configuration_bound =
             Duration::from_millis(self.state.settings.bounds.configuration_ms);
         let max_age = configuration_bound.mul_f64(MAX_AGE_FRACTION);
@@ -98,7 +98,7 @@
         let mut phase = FollowPhase::Probe;
         loop {
             let sent = clock::now();
-            let mut feed = self.links.feed_of(links);
+            let mut feed = self.links.feed_of(address);
             let (request, reply_timeout) = match phase {
                 FollowPhase::Probe => (Position::probe_request(), REPLY_GRACE),
                 FollowPhase::CatchUp => {
@@ -124,8 +124,8 @@
                     sleep(RETRY_DELAY).await;
                     continue;
                 }
-                Ok(Err(status)) => return source_failed(links, status),
-                Err(elapsed) => return source_failed(links, elapsed),
+                Ok(Err(status)) => return source_failed(address, status),
+                Err(elapsed) => return source_failed(address, elapsed),
             };
             if matches!(phase, FollowPhase::Probe) {
                 phase = FollowPhase::CatchUp;
@@ -135,24 +135,26 @@
             phase = FollowPhase::Poll;
             let age = Duration::from_millis(reply.vouched_ms);
             if age > max_age {
-                return source_failed(links, format_args!("the configuration is stale: {age:?}"));
+                return source_failed(address, format_args!("the configuration is stale: {age:?}"));
             }
             if is_first {
-                self.log_caught_up(links, &reply);
+                self.log_caught_up(address, &reply);
             }
             match self.apply_reply(sent, reply) {
                 ReplyOutcome::Applied => behind_since = None,
-                ReplyOutcome::Incomplete => return source_failed(links, "the reply lacks a topic"),
+                ReplyOutcome::Incomplete => {
+                    return source_failed(address, "the reply lacks a topic");
+                }
                 ReplyOutcome::Behind => {
                     let since = *behind_since.get_or_insert(sent);
                     if clock::now().since(since) > LAG_TIMEOUT {
-                        return source_failed(links, "its offsets are behind this node's");
+                        return source_failed(address, "its offsets are behind this node's");
                     }
                 }
             }
             if clock::now().since(probed_at) >= PREFERRED_PROBE_INTERVAL {
                 probed_at = clock::now();
-                if let Some(better) = self.find_better_source(Source::Node(links)).await {
+                if let Some(better) = self.find_better_source(Source::Node(address)).await {
                     return SwitchReason::FoundBetter(better);
                 }
             }
@@ -161,12 +163,12 @@
     }
 
     /// Logs this node's offsets and what another node's first reply contains.
-    fn log_caught_up(&self, links: SocketAddr, reply: &FollowReply) {
+    fn log_caught_up(&self, address: SocketAddr, reply: &FollowReply) {
         let (Some(operator), Some(registry)) = (&reply.operator, &reply.registry) else {
             return;
         };
         self.state.events.write(&Event::CaughtUp {
-            source: &Source::Node(links).to_string(),
+            source: &Source::Node(address).to_string(),
             operator_from: self.position.operator,
             operator_next: operator.next,
             operator_records: operator.records.len(),
@@ -283,8 +285,8 @@
     }
 }
 
-fn source_failed(links: SocketAddr, cause: impl Display) -> SwitchReason {
-    log::debug!("follower: node at {links}: {cause}.");
+fn source_failed(address: SocketAddr, cause: impl Display) -> SwitchReason {
+    log::debug!("follower: node at {address}: {cause}.");
     SwitchReason::Failed
 }
 
--- a/crates/sesamecart-entry/src/follower/source_follower.rs
+++ b/crates/sesamecart-entry/src/follower/source_follower.rs
@@ -94,7 +94,7 @@
             self.record_source(source);
             let reason = match source {
                 Source::Store => self.read_store().await,
-                Source::Node(links) => self.follow_node(links).await,
+                Source::Node(address) => self.follow_node(address).await,
             };
             match reason {
                 SwitchReason::FoundBetter(other) => preferred = Some(other),
@@ -130,19 +130,19 @@
     }
 
     fn record_source(&mut self, source: Source) {
-        let links = match source {
+        let upstream = match source {
             Source::Store => {
                 // This node now reads the topics itself, so offsets received from other nodes no longer
                 // apply.
                 self.position = Position::default();
                 None
             }
-            Source::Node(links) => {
+            Source::Node(address) => {
                 self.state.feed.stop_serving();
-                Some(links)
+                Some(address)
             }
         };
-        self.state.set_upstream(links);
+        self.state.set_upstream(upstream);
         self.state.events.write(&Event::SourceChanged {
             source: &source.to_string(),
         });
@@ -190,7 +190,7 @@
                     let read = self.store.newest(Topic::Nodes, None);
                     matches!(within(PROBE_TIMEOUT, read).await, Ok(Ok(_)))
                 }
-                Source::Node(links) => is_serving(&self.links, links).await,
+                Source::Node(address) => is_serving(&self.links, address).await,
             };
             if serves {
                 return Some(candidate);
--- a/crates/sesamecart-entry/src/group_prober.rs
+++ b/crates/sesamecart-entry/src/group_prober.rs
@@ -59,11 +59,11 @@
     /// Returns whether a group is sound as seen from this node. If this node follows another one, that node
     /// probes the members and this node only the head.
     pub(crate) async fn is_sound(&self, key: &GroupKey) -> bool {
-        if let Some(links) = self.state.upstream()
-            && let Some(is_sound) = self.probe_via_upstream(links, key).await
+        if let Some(address) = self.state.upstream()
+            && let Some(is_sound) = self.probe_via_upstream(address, key).await
         {
             // The other node may reach engines that this node can't reach.
-            return is_sound && self.can_reach_head(links, key).await;
+            return is_sound && self.can_reach_head(address, key).await;
         }
         self.verdict(key).await == Verdict::Sound
     }
@@ -89,26 +89,26 @@
         Arc::clone(&probe.verdict)
     }
 
-    async fn probe_via_upstream(&self, links: SocketAddr, key: &GroupKey) -> Option<bool> {
+    async fn probe_via_upstream(&self, address: SocketAddr, key: &GroupKey) -> Option<bool> {
         let group = GroupLoss {
             group: key.to_string(),
         };
-        let mut feed = self.links.feed_of(links);
+        let mut feed = self.links.feed_of(address);
         match within(REMOTE_PROBE_TIMEOUT, feed.examine_group(group)).await {
             Ok(Ok(reply)) => Some(reply.into_inner().is_sound),
             Ok(Err(status)) => {
-                log::debug!("watch: node at {links}: probe of {key} failed: {status}.");
+                log::debug!("watch: node at {address}: probe of {key} failed: {status}.");
                 None
             }
             Err(elapsed) => {
-                log::debug!("watch: node at {links}: probe of {key} failed: {elapsed}.");
+                log::debug!("watch: node at {address}: probe of {key} failed: {elapsed}.");
                 None
             }
         }
     }
 
-    /// Probes the head of a group from this node, after the node at `links` has found the group sound.
-    async fn can_reach_head(&self, links: SocketAddr, key: &GroupKey) -> bool {
+    /// Probes the head of a group from this node, after the node at `address` has found the group sound.
+    async fn can_reach_head(&self, address: SocketAddr, key: &GroupKey) -> bool {
         let probe = watch::probe_head(&self.state, &self.client, key).await;
         let is_sound = matches!(probe, MemberProbe::Member(_));
         let verdict = if is_sound {
@@ -119,7 +119,7 @@
         self.state.events.write(&Event::GroupExamined {
             group: &key.to_string(),
             verdict: &verdict.to_string(),
-            finding: &format!("sound for the node at {links}; head {probe}"),
+            finding: &format!("sound for the node at {address}; head {probe}"),
         });
         is_sound
     }
--- a/crates/sesamecart-entry/src/lib.rs
+++ b/crates/sesamecart-entry/src/lib.rs
@@ -1,7 +1,8 @@
 //! A node that routes requests on the users' platform.
 //!
 //! The control thread follows the store and, on one node at a time, controls the serving groups. The traffic
-//! thread forwards the requests of callers. They share [`EntryState`]: the state of the node and its age.
+//! thread forwards the requests of callers. They share [`EntryState`]: the state of the node and the age
+//! of its configuration.
 //! docs/design/platform-run.md explains the design.
 
 mod clock;
--- a/crates/sesamecart-entry/src/loss_reports.rs
+++ b/crates/sesamecart-entry/src/loss_reports.rs
@@ -74,16 +74,16 @@
     join_all(announcements).await;
 }
 
-async fn announce_to(links: &Links, reader: SocketAddr, key: &GroupKey) {
+async fn announce_to(links: &Links, address: SocketAddr, key: &GroupKey) {
     let loss = GroupLoss {
         group: key.to_string(),
     };
-    let mut feed = links.feed_of(reader);
+    let mut feed = links.feed_of(address);
     // A node that misses the announcement detects the loss by itself or in the registry, a little later.
     match within(LOSS_REPORT_TIMEOUT, feed.announce_loss(loss)).await {
         Ok(Ok(_)) => {}
-        Ok(Err(status)) => log::debug!("losses: node at {reader}: announce {key}: {status}."),
-        Err(elapsed) => log::debug!("losses: node at {reader}: announce {key}: {elapsed}."),
+        Ok(Err(status)) => log::debug!("losses: node at {address}: announce {key}: {status}."),
+        Err(elapsed) => log::debug!("losses: node at {address}: announce {key}: {elapsed}."),
     }
 }
 
--- a/crates/sesamecart-entry/src/metrics.rs
+++ b/crates/sesamecart-entry/src/metrics.rs
@@ -16,7 +16,7 @@
     registry: Registry,
     /// Held to keep the instruments alive.
     _provider: SdkMeterProvider,
-    answers: Counter<u64>,
+    responses: Counter<u64>,
     attempts_failed: Counter<u64>,
     resumed: Counter<u64>,
     store_calls: Counter<u64>,
@@ -50,7 +50,7 @@
             meter.u64_counter(name).with_description(text).build()
         };
         let metrics = Self {
-            answers: counter(
+            responses: counter(
                 "sesamecart.answers",
                 "Requests that got their final answer, by who gave it and its status.",
             ),
@@ -99,7 +99,7 @@
     ///
     /// A counter that only appears with the first failure can't be distinguished from one that was renamed.
     fn init(&self) {
-        self.answers.add(0, &[]);
+        self.responses.add(0, &[]);
         self.attempts_failed.add(0, &[]);
         self.resumed.add(0, &[]);
         self.store_calls.add(0, &[]);
@@ -110,12 +110,12 @@
         self.domains_evacuated.record(0, &[]);
     }
 
-    pub(crate) fn count_answer(&self, by: &'static str, status: u16) {
+    pub(crate) fn count_response(&self, by: &'static str, status: u16) {
         let labels = [
             KeyValue::new("by", by),
             KeyValue::new("status", i64::from(status)),
         ];
-        self.answers.add(1, &labels);
+        self.responses.add(1, &labels);
     }
 
     pub(crate) fn count_failed_attempt(&self, may_have_run: bool) {
--- a/crates/sesamecart-entry/src/peer_loads.rs
+++ b/crates/sesamecart-entry/src/peer_loads.rs
@@ -1,8 +1,8 @@
 //! The loads that entry nodes send each other.
 //!
 //! Many nodes choose among the same group heads. A node knows its own requests, but learns of the requests of
-//! other nodes only when a head responds to it. That is too late for a prompt that another node has just sent:
-//! two prompts then meet at one head, and the second caller waits while another head is idle. Each node
+//! other nodes only when a head responds to it. That is too late for a prompt that another node has just
+//! sent: two prompts then meet at one head, and the second caller waits while another head is idle. Each node
 //! therefore sends its in-flight load to its peers at once or shortly after a change.
 //! docs/decisions-under-faults.md describes the effect.
 
@@ -104,16 +104,16 @@
         let cause = receive_loads(&state, &links, &peer, &mut reachability).await;
         state.loads().drop_peer(&peer.node);
         state.demand().drop_peer(&peer.node);
-        reachability.mark_lost(&state, &cause);
+        reachability.mark_unreachable(&state, &cause);
         sleep(RECONNECT_DELAY).await;
     }
 }
 
-/// Whether the loads of a peer can be received. Each loss and each recovery is logged once.
+/// Whether the loads of a peer can be received. Each outage and each recovery is logged once.
 struct PeerReachability {
     dependency: String,
-    /// When the stream was lost; `None` while it is up and before it was up for the first time.
-    lost_at: Option<Timestamp>,
+    /// When the stream failed; `None` while it is up and before it was up for the first time.
+    unreachable_since: Option<Timestamp>,
     was_reachable: bool,
 }
 
@@ -121,27 +121,27 @@
     fn new(node: &NodeId) -> Self {
         Self {
             dependency: format!("loads of {node}"),
-            lost_at: None,
+            unreachable_since: None,
             was_reachable: false,
         }
     }
 
     fn mark_reachable(&mut self, state: &EntryState) {
         self.was_reachable = true;
-        let Some(lost_at) = self.lost_at.take() else {
+        let Some(unreachable_since) = self.unreachable_since.take() else {
             return;
         };
         state.events.write(&Event::DependencyRegained {
             dependency: &self.dependency,
-            away_ms: millis(clock::now().since(lost_at)),
+            away_ms: millis(clock::now().since(unreachable_since)),
         });
     }
 
-    fn mark_lost(&mut self, state: &EntryState, cause: &str) {
-        if !self.was_reachable || self.lost_at.is_some() {
+    fn mark_unreachable(&mut self, state: &EntryState, cause: &str) {
+        if !self.was_reachable || self.unreachable_since.is_some() {
             return;
         }
-        self.lost_at = Some(clock::now());
+        self.unreachable_since = Some(clock::now());
         state.events.write(&Event::DependencyLost {
             dependency: &self.dependency,
             cause,
--- a/crates/sesamecart-entry/src/state.rs
+++ b/crates/sesamecart-entry/src/state.rs
@@ -58,8 +58,8 @@
     is_controller: AtomicBool,
     pub(crate) loads: Mutex<LoadBook>,
     demand: Mutex<DemandBook>,
-    first_events: Mutex<FirstEventTimeouts>,
-    /// Notified whenever a request is sent, starts to be answered or ends.
+    first_event_timeouts: Mutex<FirstEventTimeouts>,
+    /// Notified whenever a request is sent, gets the start of its response or ends.
     pub(crate) loads_changed: Notifier,
     confirmed_at: AtomicU64,
     registry_read: AtomicBool,
@@ -103,7 +103,7 @@
             directory: ArcSwap::default(),
             loads: Mutex::default(),
             demand: Mutex::default(),
-            first_events: Mutex::default(),
+            first_event_timeouts: Mutex::default(),
             loads_changed: Notifier::new(),
             confirmed_at: AtomicU64::new(0),
             registry_read: AtomicBool::new(false),
@@ -159,7 +159,7 @@
 
     /// Returns the timeouts for the first events of streams, and the times that they are derived from.
     pub(crate) fn first_event_timeouts(&self) -> MutexGuard<'_, FirstEventTimeouts> {
-        lock(&self.first_events)
+        lock(&self.first_event_timeouts)
     }
 
     /// Estimates the demand of the callers of all nodes for each model.
@@ -205,10 +205,10 @@
         local_peer(&self.settings)
     }
 
-    /// Sets the address for links of the node to follow, or `None` to read the store itself.
-    pub(crate) fn set_upstream(&self, links: Option<SocketAddr>) {
-        self.reads_store.store(links.is_none(), Ordering::Release);
-        self.upstream.store(links.map(Arc::new));
+    /// Sets the address for links of the node that this node follows, or `None` to read the store itself.
+    pub(crate) fn set_upstream(&self, address: Option<SocketAddr>) {
+        self.reads_store.store(address.is_none(), Ordering::Release);
+        self.upstream.store(address.map(Arc::new));
     }
 
     /// Returns whether this node reads the store itself; false until it has chosen its source.
--- a/crates/sesamecart-entry/src/traffic/handler.rs
+++ b/crates/sesamecart-entry/src/traffic/handler.rs
@@ -58,7 +58,7 @@
         } = refused;
         let status = refusal.status().as_u16();
         let catalog = self.state.catalog.load();
-        self.state.metrics.count_answer("node", status);
+        self.state.metrics.count_response("node", status);
         self.state.events.write(&Event::Refused {
             request: id,
             status,
@@ -282,7 +282,7 @@
     let (head, body) = response.into_parts();
     let status = head.status.as_u16();
     let elapsed = call.elapsed();
-    call.state.metrics.count_answer("endpoint", status);
+    call.state.metrics.count_response("endpoint", status);
     call.state.metrics.record_first_response(elapsed);
     call.state.events.write_success(
         clock::now(),
--- a/crates/sesamecart-entry/src/traffic/in_flight.rs
+++ b/crates/sesamecart-entry/src/traffic/in_flight.rs
@@ -23,7 +23,7 @@
     request: RequestId,
     arrived_at: Timestamp,
     sent_at: Timestamp,
-    /// Set when the endpoint's group is detected as lost.
+    /// Set when the endpoint's group is found lost.
     group_lost: Option<Signal>,
     /// Whether the endpoint has sent anything for this request.
     has_started: bool,
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Returns a future that completes when the endpoint's group is detected as lost.
+    /// Returns a future that completes when the endpoint's group is found lost.
     pub(crate) fn group_lost(&self) -> impl Future<Output = ()> + Send + use<> {
         let group_lost = self.group_lost.clone();
         async move {
--- a/crates/sesamecart-entry/src/traffic/relay.rs
+++ b/crates/sesamecart-entry/src/traffic/relay.rs
@@ -23,9 +23,9 @@
 use crate::traffic::event_splitter::{EventSplitter, PushOutcome};
 use crate::traffic::in_flight::InFlightRequest;
 
-/// The endpoint's side of a stream for one attempt.
+/// The response stream of one attempt, from its endpoint.
 #[derive(Debug)]
-struct Source {
+struct EndpointStream {
     body: Incoming,
     lease: ConnectionLease,
     in_flight: InFlightRequest,
@@ -36,7 +36,7 @@
 pub(crate) struct Relay {
     call: Arc<Call>,
     attempts: Attempts,
-    source: Option<Source>,
+    endpoint_stream: Option<EndpointStream>,
     splitter: EventSplitter,
     /// Ends the stream at the caller's timeout or the route's time limit.
     deadline: Timer,
@@ -67,7 +67,7 @@
             last_data_at: clock::now(),
             longest_pause: Duration::ZERO,
             splitter: EventSplitter::resuming_after(last_event),
-            source: Some(Source::new(received)),
+            endpoint_stream: Some(EndpointStream::new(received)),
             attempts,
             call,
         }
@@ -114,12 +114,12 @@
 
     /// Reads the next data from the endpoint, until its group is lost or the deadline passes.
     async fn read(&mut self) -> ReadOutcome {
-        let Some(source) = &mut self.source else {
+        let Some(endpoint_stream) = &mut self.endpoint_stream else {
             return ReadOutcome::Broken("it has no source".to_owned());
         };
-        let group_lost = source.in_flight.group_lost();
+        let group_lost = endpoint_stream.in_flight.group_lost();
         let frame = async {
-            match source.body.frame().await {
+            match endpoint_stream.body.frame().await {
                 None => ReadOutcome::End,
                 Some(Err(error)) => ReadOutcome::Broken(error.to_string()),
                 // Trailers contain nothing for the caller.
@@ -136,7 +136,7 @@
         };
         let outcome = future::or(frame, future::or(group_lost, deadline)).await;
         if matches!(outcome, ReadOutcome::Data(_)) {
-            source.in_flight.record_activity();
+            endpoint_stream.in_flight.record_activity();
             let now = clock::now();
             self.longest_pause = self.longest_pause.max(now.since(self.last_data_at));
             self.last_data_at = now;
@@ -150,7 +150,7 @@
     ///
     /// Fails if the stream can't be resumed; the error ends the caller's response.
     async fn resume(&mut self, reason: &str, is_group_lost: bool) -> Result<(), BoxError> {
-        let Some(mut broken) = self.source.take() else {
+        let Some(mut broken) = self.endpoint_stream.take() else {
             return Err(self.fail(reason));
         };
         let from = broken.in_flight.endpoint.clone();
@@ -188,27 +188,27 @@
             pause_ms: millis(clock::now().since(self.last_data_at)),
         });
         self.splitter = EventSplitter::resuming_after(last_event);
-        self.source = Some(Source::new(received));
+        self.endpoint_stream = Some(EndpointStream::new(received));
         Ok(())
     }
 
     /// Records the stream as complete and returns its connection to the pool.
     fn finish(&mut self) {
-        let Some(mut source) = self.source.take() else {
+        let Some(mut endpoint_stream) = self.endpoint_stream.take() else {
             return;
         };
-        source.in_flight.mark_succeeded();
-        self.call.return_connection(source.lease);
+        endpoint_stream.in_flight.mark_succeeded();
+        self.call.return_connection(endpoint_stream.lease);
         let now = clock::now();
         self.call
             .state
             .metrics
-            .count_answer("endpoint", self.status);
+            .count_response("endpoint", self.status);
         self.call.state.events.write_success(
             now,
             &Event::Answered {
                 request: self.call.metadata.id.as_str(),
-                endpoint: source.in_flight.endpoint.as_str(),
+                endpoint: endpoint_stream.in_flight.endpoint.as_str(),
                 status: self.status,
                 attempts: self.attempts.made,
                 route: &self.call.route.name,
@@ -221,11 +221,14 @@
 
     /// Records the stream as broken and returns the error that ends the caller's response.
     fn fail(&mut self, reason: &str) -> BoxError {
-        let endpoint = self.source.take().map(|mut source| {
-            source.in_flight.mark_ended();
-            source.in_flight.endpoint.clone()
+        let endpoint = self.endpoint_stream.take().map(|mut endpoint_stream| {
+            endpoint_stream.in_flight.mark_ended();
+            endpoint_stream.in_flight.endpoint.clone()
         });
-        self.call.state.metrics.count_answer("broken", self.status);
+        self.call
+            .state
+            .metrics
+            .count_response("broken", self.status);
         self.call.state.events.write(&Event::Broken {
             request: self.call.metadata.id.as_str(),
             endpoint: endpoint.as_ref().map_or("", |id| id.as_str()),
@@ -236,7 +239,7 @@
     }
 }
 
-impl Source {
+impl EndpointStream {
     fn new(received: EndpointResponse) -> Self {
         Self {
             body: received.body,
--- a/crates/sesamecart-entry/tests/end_to_end/many_nodes.rs
+++ b/crates/sesamecart-entry/tests/end_to_end/many_nodes.rs
@@ -67,10 +67,10 @@
     deployment.shut_down();
 }
 
-/// Heads stop responding while many nodes have streams on them. If each node queried all members, the engines
-/// would receive hundreds of queries for one loss, and the nodes would be busy with them while callers wait.
+/// Heads stop responding while many nodes have streams on them. If each node probed all members, the engines
+/// would receive hundreds of probes for one loss, and the nodes would be busy with them while callers wait.
 #[test]
-fn the_members_of_an_unresponsive_group_are_queried_once_for_all_nodes() {
+fn the_members_of_an_unresponsive_group_are_probed_once_for_all_nodes() {
     let deployment = Deployment::start(EVENTS);
     deployment.wait_for_groups(2);
     let others = deployment.add_nodes("a", 12);
