--- a/crates/sesamecart-entry/src/feed.rs
+++ b/crates/sesamecart-entry/src/feed.rs
@@ -30,12 +30,12 @@
 #[derive(Debug)]
 pub(crate) struct Feed {
     id: u64,
-    state: Mutex<State>,
+    state: Mutex<FeedState>,
     changed: Changed,
 }
 
 #[derive(Debug, Default)]
-struct State {
+struct FeedState {
     topics: [Option<TopicFeed>; TOPICS.len()],
     /// Whether each topic was read since this node last began to read the store. The feed serves once all
     /// were.
@@ -61,7 +61,7 @@
         }
     }
 
-    fn state(&self) -> MutexGuard<'_, State> {
+    fn state(&self) -> MutexGuard<'_, FeedState> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -115,7 +115,7 @@
     }
 
     /// Records the loss of a group. Returns `false` if the loss was already recorded.
-    pub(crate) fn note_loss(&self, now: Timestamp, key: &GroupKey) -> bool {
+    pub(crate) fn record_loss(&self, now: Timestamp, key: &GroupKey) -> bool {
         let group = key.to_string();
         let mut state = self.state();
         state
--- a/crates/sesamecart-entry/src/follower/peer.rs
+++ b/crates/sesamecart-entry/src/follower/peer.rs
@@ -14,11 +14,11 @@
 
 use super::RETRY_DELAY;
 use super::nodes::{apply_nodes, replace_nodes};
-use super::source_follower::{Following, PREFERRED_PROBE_INTERVAL, SwitchReason};
-use crate::beliefs::Beliefs;
+use super::source_follower::{PREFERRED_PROBE_INTERVAL, SourceFollower, SwitchReason};
 use crate::clock;
 use crate::events::Event;
-use crate::losses::parse_group;
+use crate::loss_reports::parse_group_key;
+use crate::state::EntryState;
 
 /// How long the other node holds a call while there are no updates.
 ///
@@ -84,11 +84,11 @@
     Incomplete,
 }
 
-impl Following {
-    /// Follows the node at `links` until it fails, becomes stale, or a preferred source serves again.
-    pub(super) async fn follow_node(&mut self, links: SocketAddr) -> SwitchReason {
+impl SourceFollower {
+    /// Follows the node at `address` until it fails, becomes stale, or a preferred source serves again.
+    pub(super) async fn follow_node(&mut self, address: SocketAddr) -> SwitchReason {
         let configuration_bound =
-            Duration::from_millis(self.beliefs.settings.bounds.configuration_ms);
+            Duration::from_millis(self.state.settings.bounds.configuration_ms);
         let max_age = configuration_bound.mul_f64(MAX_AGE_FRACTION);
         let first_read_timeout = configuration_bound.mul_f64(FIRST_READ_TIMEOUT_FRACTION);
         let started_at = clock::now();
@@ -98,7 +98,7 @@
         let mut phase = FollowPhase::Probe;
         loop {
             let sent = clock::now();
-            let mut feed = self.links.feed_of(links);
+            let mut feed = self.links.feed_of(address);
             let (request, reply_timeout) = match phase {
                 FollowPhase::Probe => (Position::probe_request(), REPLY_GRACE),
                 FollowPhase::CatchUp => {
@@ -124,8 +124,8 @@
                     sleep(RETRY_DELAY).await;
                     continue;
                 }
-                Ok(Err(status)) => return source_failed(links, status),
-                Err(elapsed) => return source_failed(links, elapsed),
+                Ok(Err(status)) => return source_failed(address, status),
+                Err(elapsed) => return source_failed(address, elapsed),
             };
             if matches!(phase, FollowPhase::Probe) {
                 phase = FollowPhase::CatchUp;
@@ -135,24 +135,26 @@
             phase = FollowPhase::Poll;
             let age = Duration::from_millis(reply.vouched_ms);
             if age > max_age {
-                return source_failed(links, format_args!("the configuration is stale: {age:?}"));
+                return source_failed(address, format_args!("the configuration is stale: {age:?}"));
             }
             if is_first {
-                self.log_caught_up(links, &reply);
+                self.log_caught_up(address, &reply);
             }
             match self.apply_reply(sent, reply) {
                 ReplyOutcome::Applied => behind_since = None,
-                ReplyOutcome::Incomplete => return source_failed(links, "the reply lacks a topic"),
+                ReplyOutcome::Incomplete => {
+                    return source_failed(address, "the reply lacks a topic");
+                }
                 ReplyOutcome::Behind => {
                     let since = *behind_since.get_or_insert(sent);
                     if clock::now().since(since) > LAG_TIMEOUT {
-                        return source_failed(links, "its offsets are behind this node's");
+                        return source_failed(address, "its offsets are behind this node's");
                     }
                 }
             }
             if clock::now().since(probed_at) >= PREFERRED_PROBE_INTERVAL {
                 probed_at = clock::now();
-                if let Some(better) = self.find_better_source(Source::Node(links)).await {
+                if let Some(better) = self.find_better_source(Source::Node(address)).await {
                     return SwitchReason::FoundBetter(better);
                 }
             }
@@ -161,12 +163,12 @@
     }
 
     /// Logs this node's offsets and what another node's first reply contains.
-    fn log_caught_up(&self, links: SocketAddr, reply: &FollowReply) {
+    fn log_caught_up(&self, address: SocketAddr, reply: &FollowReply) {
         let (Some(operator), Some(registry)) = (&reply.operator, &reply.registry) else {
             return;
         };
-        self.beliefs.events.write(&Event::CaughtUp {
-            source: &Source::Node(links).to_string(),
+        self.state.events.write(&Event::CaughtUp {
+            source: &Source::Node(address).to_string(),
             operator_from: self.position.operator,
             operator_next: operator.next,
             operator_records: operator.records.len(),
@@ -207,12 +209,12 @@
         // a safe lower bound.
         let age = Duration::from_millis(reply.vouched_ms);
         let age = u64::try_from(age.as_micros()).unwrap_or(u64::MAX);
-        self.beliefs
-            .confirm_freshness(Timestamp(sent.0.saturating_sub(age)));
-        self.beliefs.note_registry_read();
+        self.state
+            .confirm_configuration(Timestamp(sent.0.saturating_sub(age)));
+        self.state.set_registry_read();
         for group in &reply.losses {
-            match parse_group(group) {
-                Some(key) => self.beliefs.lose_group(&key),
+            match parse_group_key(group) {
+                Some(key) => self.state.mark_group_lost(&key),
                 None => log::warn!("follower: invalid group in a loss: {group}."),
             }
         }
@@ -220,33 +222,33 @@
     }
 
     fn apply_topics(&mut self, operator: TopicPart, registry: TopicPart, nodes: TopicPart) {
-        let beliefs = &self.beliefs;
+        let state = &self.state;
         match TopicUpdate::from(operator) {
             TopicUpdate::Snapshot { records, unchanged } => {
-                self.operator.replace(beliefs, &records, &unchanged);
+                self.operator.replace(state, &records, &unchanged);
             }
             TopicUpdate::Delta(records) if records.is_empty() => {}
-            TopicUpdate::Delta(records) => self.operator.apply(beliefs, &records),
+            TopicUpdate::Delta(records) => self.operator.apply(state, &records),
         }
         match TopicUpdate::from(registry) {
             TopicUpdate::Snapshot { records, unchanged } => {
-                self.registry.replace(beliefs, &records, &unchanged);
+                self.registry.replace(state, &records, &unchanged);
             }
             TopicUpdate::Delta(records) if records.is_empty() => {}
-            TopicUpdate::Delta(records) => self.registry.apply(beliefs, &records),
+            TopicUpdate::Delta(records) => self.registry.apply(state, &records),
         }
-        update_nodes(beliefs, nodes);
+        update_nodes(state, nodes);
     }
 }
 
 /// Applies another node's update of the list of nodes.
-pub(super) fn update_nodes(beliefs: &Beliefs, nodes: TopicPart) {
+pub(super) fn update_nodes(state: &EntryState, nodes: TopicPart) {
     match TopicUpdate::from(nodes) {
         TopicUpdate::Snapshot { records, unchanged } => {
-            let _nodes = replace_nodes(beliefs, &records, &unchanged);
+            let _nodes = replace_nodes(state, &records, &unchanged);
         }
         TopicUpdate::Delta(records) if records.is_empty() => {}
-        TopicUpdate::Delta(records) => apply_nodes(beliefs, &records),
+        TopicUpdate::Delta(records) => apply_nodes(state, &records),
     }
 }
 
@@ -283,8 +285,8 @@
     }
 }
 
-fn source_failed(links: SocketAddr, cause: impl Display) -> SwitchReason {
-    log::debug!("follower: node at {links}: {cause}.");
+fn source_failed(address: SocketAddr, cause: impl Display) -> SwitchReason {
+    log::debug!("follower: node at {address}: {cause}.");
     SwitchReason::Failed
 }
 
--- a/crates/sesamecart-entry/src/exchange.rs
+++ b/crates/sesamecart-entry/src/peer_loads.rs
@@ -1,9 +1,9 @@
-//! Exchange of load information between entry nodes.
+//! The loads that entry nodes send each other.
 //!
 //! Many nodes choose among the same group heads. A node knows its own requests, but learns of the requests of
-//! other nodes only when a head responds to it. Without an exchange it can't see a prompt that another node
-//! has just sent: two prompts then meet at one head, and the second caller waits while another head is idle.
-//! Each node therefore sends its in-flight load to its peers at once or shortly after a change.
+//! other nodes only when a head responds to it. That is too late for a prompt that another node has just
+//! sent: two prompts then meet at one head, and the second caller waits while another head is idle. Each node
+//! therefore sends its in-flight load to its peers at once or shortly after a change.
 //! docs/decisions-under-faults.md describes the effect.
 
 mod changes;
@@ -18,11 +18,11 @@
 use sesamecart_runtime::{Tasks, sleep, within};
 use sesamecart_vocabulary::{EndpointId, NodeId, Timestamp};
 
-use crate::beliefs::Beliefs;
 use crate::clock;
 use crate::events::Event;
-pub(crate) use crate::exchange::changes::{Changes, changes};
 use crate::follower::millis;
+pub(crate) use crate::peer_loads::changes::{LoadChangesStream, load_changes};
+use crate::state::EntryState;
 
 const MILLI_GROUPS_PER_GROUP: f64 = 1_000.0;
 
@@ -53,23 +53,19 @@
 }
 
 /// Watches the loads of peer nodes until the task is cancelled.
-pub(crate) async fn watch_peers(beliefs: Arc<Beliefs>, links: Links, tasks: Tasks) {
+pub(crate) async fn watch_peers(state: Arc<EntryState>, links: Links, tasks: Tasks) {
     let mut watched = WatchedPeers::default();
     loop {
-        let nodes = beliefs.nodes.load_full();
-        let gone = watched.gone(&beliefs);
+        let nodes = state.nodes.load_full();
+        let gone = watched.gone(&state);
         let others = nodes.len().saturating_sub(1 + gone.len());
-        beliefs.loads().set_others(others);
-        for peer in peers_to_watch(&beliefs.settings.node, &nodes, &gone) {
+        state.loads().set_others(others);
+        for peer in peers_to_watch(&state.settings.node, &nodes, &gone) {
             // A node that is added later may be nearer; peers that are already watched stay watched.
             let has_capacity = watched.0.len() < MAX_WATCHED_PEERS + gone.len();
             if has_capacity && !watched.0.contains_key(&peer.node) {
                 watched.0.insert(peer.node.clone(), clock::now());
-                tasks.spawn(watch_peer(
-                    Arc::clone(&beliefs),
-                    links.clone(),
-                    peer.clone(),
-                ));
+                tasks.spawn(watch_peer(Arc::clone(&state), links.clone(), peer.clone()));
             }
         }
         sleep(NODES_REFRESH_INTERVAL).await;
@@ -86,9 +82,9 @@
     /// The list of nodes also contains nodes that were replaced. If these counted as unreachable peers, each
     /// would add its share to the estimated load of every head, and callers would be refused while slots are
     /// free.
-    fn gone(&mut self, beliefs: &Beliefs) -> IndexSet<NodeId> {
+    fn gone(&mut self, state: &EntryState) -> IndexSet<NodeId> {
         let now = clock::now();
-        let loads = beliefs.loads();
+        let loads = state.loads();
         for (node, last_reported_at) in &mut self.0 {
             if loads.is_reporting(node) {
                 *last_reported_at = now;
@@ -102,22 +98,22 @@
 }
 
 /// Watches the loads of one peer and reconnects whenever the stream ends.
-async fn watch_peer(beliefs: Arc<Beliefs>, links: Links, peer: PeerNode) {
+async fn watch_peer(state: Arc<EntryState>, links: Links, peer: PeerNode) {
     let mut reachability = PeerReachability::new(&peer.node);
     loop {
-        let cause = receive_loads(&beliefs, &links, &peer, &mut reachability).await;
-        beliefs.loads().drop_peer(&peer.node);
-        beliefs.demand().drop_peer(&peer.node);
-        reachability.mark_lost(&beliefs, &cause);
+        let cause = receive_loads(&state, &links, &peer, &mut reachability).await;
+        state.loads().drop_peer(&peer.node);
+        state.demand().drop_peer(&peer.node);
+        reachability.mark_unreachable(&state, &cause);
         sleep(RECONNECT_DELAY).await;
     }
 }
 
-/// Whether the loads of a peer can be received. Each loss and each recovery is logged once.
+/// Whether the loads of a peer can be received. Each outage and each recovery is logged once.
 struct PeerReachability {
     dependency: String,
-    /// When the stream was lost; `None` while it is up and before it was up for the first time.
-    lost_at: Option<Timestamp>,
+    /// When the stream failed; `None` while it is up and before it was up for the first time.
+    unreachable_since: Option<Timestamp>,
     was_reachable: bool,
 }
 
@@ -125,28 +121,28 @@
     fn new(node: &NodeId) -> Self {
         Self {
             dependency: format!("loads of {node}"),
-            lost_at: None,
+            unreachable_since: None,
             was_reachable: false,
         }
     }
 
-    fn mark_reachable(&mut self, beliefs: &Beliefs) {
+    fn mark_reachable(&mut self, state: &EntryState) {
         self.was_reachable = true;
-        let Some(lost_at) = self.lost_at.take() else {
+        let Some(unreachable_since) = self.unreachable_since.take() else {
             return;
         };
-        beliefs.events.write(&Event::DependencyRegained {
+        state.events.write(&Event::DependencyRegained {
             dependency: &self.dependency,
-            away_ms: millis(clock::now().since(lost_at)),
+            away_ms: millis(clock::now().since(unreachable_since)),
         });
     }
 
-    fn mark_lost(&mut self, beliefs: &Beliefs, cause: &str) {
-        if !self.was_reachable || self.lost_at.is_some() {
+    fn mark_unreachable(&mut self, state: &EntryState, cause: &str) {
+        if !self.was_reachable || self.unreachable_since.is_some() {
             return;
         }
-        self.lost_at = Some(clock::now());
-        beliefs.events.write(&Event::DependencyLost {
+        self.unreachable_since = Some(clock::now());
+        state.events.write(&Event::DependencyLost {
             dependency: &self.dependency,
             cause,
         });
@@ -155,7 +151,7 @@
 
 /// Receives a peer's loads until the stream fails; returns the cause.
 async fn receive_loads(
-    beliefs: &Beliefs,
+    state: &EntryState,
     links: &Links,
     peer: &PeerNode,
     reachability: &mut PeerReachability,
@@ -173,13 +169,13 @@
             Ok(Err(status)) => return status.to_string(),
             Err(elapsed) => return elapsed.to_string(),
         };
-        reachability.mark_reachable(beliefs);
+        reachability.mark_reachable(state);
         if !next.demand.is_empty() {
             let demand = parse_demand(&next.demand);
             let now = clock::now();
-            beliefs.demand().apply_peer_demand(now, &peer.node, demand);
+            state.demand().apply_peer_demand(now, &peer.node, demand);
         }
-        let mut loads = beliefs.loads();
+        let mut loads = state.loads();
         loads.mark_reporting(&peer.node);
         for head in next.heads {
             if !head.endpoint.is_empty() {
