--- a/crates/sesamecart-links/examples/generate.rs
+++ b/crates/sesamecart-links/examples/generate.rs
@@ -1,7 +1,7 @@
-//! Generates the committed code for the links' messages.
+//! Regenerates the committed gRPC code of the links.
 //!
-//! Run it from the workspace's root after a change of a file under `proto/`. It needs `protoc`; a
-//! normal build doesn't, since the generated code is committed.
+//! Run it from the workspace root after changing a file under `proto/`. It requires `protoc`; a normal
+//! build doesn't, since the generated code is committed.
 
 fn main() -> std::io::Result<()> {
     tonic_prost_build::configure()
--- a/crates/sesamecart-links/src/channel.rs
+++ b/crates/sesamecart-links/src/channel.rs
@@ -1,4 +1,4 @@
-//! One HTTP/2 connection to another node, opened when first needed and again after a loss.
+//! A lazily opened HTTP/2 connection to another node, which reconnects after a failure.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -21,30 +21,30 @@
 #[cfg(test)]
 mod tests;
 
-/// How long opening a connection may take before the other node counts as out of reach.
-const CONNECT_LIMIT: Duration = Duration::from_millis(500);
+/// How long opening a connection may take before the peer counts as unreachable.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The largest gap that a call's answer may keep the caller waiting.
+/// How long a call waits for the head of its response.
 ///
-/// A frozen node's kernel still accepts connections and data, so without this limit a call to it
-/// would wait for ever.
-pub(crate) const CALL_LIMIT: Duration = Duration::from_secs(2);
+/// The kernel of a frozen node still accepts connections and data, so a call to it would wait forever
+/// without this timeout.
+pub(crate) const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A connection to one other node.
+/// A cheaply cloned handle for calls to one peer, which share one connection.
 #[derive(Clone)]
 pub struct Channel {
     peer: SocketAddr,
     tasks: Tasks,
-    count: ByteCount,
-    open: Arc<Mutex<Option<Connection>>>,
-    /// How many connections were opened.
-    opened: Arc<AtomicU64>,
+    byte_count: ByteCount,
+    connection: Arc<Mutex<Option<Connection>>>,
+    /// The number of connections opened so far.
+    connections_opened: Arc<AtomicU64>,
 }
 
 /// An open connection.
 #[derive(Clone)]
 struct Connection {
-    /// Tells it from those before it.
+    /// The sequence number within the channel.
     number: u64,
     sender: SendRequest<Body>,
 }
@@ -58,13 +58,13 @@
 }
 
 impl Channel {
-    pub(crate) fn new(peer: SocketAddr, tasks: Tasks, count: ByteCount) -> Self {
+    pub(crate) fn new(peer: SocketAddr, tasks: Tasks, byte_count: ByteCount) -> Self {
         Self {
             peer,
             tasks,
-            count,
-            open: Arc::default(),
-            opened: Arc::default(),
+            byte_count,
+            connection: Arc::default(),
+            connections_opened: Arc::default(),
         }
     }
 
@@ -72,32 +72,41 @@
         LinkError::new(step, self.peer, source.into())
     }
 
-    fn open(&self) -> MutexGuard<'_, Option<Connection>> {
-        self.open.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock_connection(&self) -> MutexGuard<'_, Option<Connection>> {
+        self.connection
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn usable(&self) -> Option<Connection> {
-        let open = self.open();
-        let usable = open.as_ref();
-        usable.filter(|open| !open.sender.is_closed()).cloned()
+    /// Returns the current connection unless it is closed.
+    fn open_connection(&self) -> Option<Connection> {
+        let connection = self.lock_connection();
+        let current = connection.as_ref();
+        current
+            .filter(|current| !current.sender.is_closed())
+            .cloned()
     }
 
-    /// Makes the next call open a new connection, unless one was opened since.
-    fn forget(&self, number: u64) {
-        let mut open = self.open();
-        if open.as_ref().is_some_and(|open| open.number == number) {
-            *open = None;
+    /// Discards connection `number`, so that the next call opens a new one, unless it was already replaced.
+    fn discard(&self, number: u64) {
+        let mut connection = self.lock_connection();
+        if connection
+            .as_ref()
+            .is_some_and(|current| current.number == number)
+        {
+            *connection = None;
         }
     }
 
-    async fn connection(&self) -> Result<Connection, LinkError> {
-        if let Some(connection) = self.usable() {
+    /// Returns the current connection, or opens one.
+    async fn connect(&self) -> Result<Connection, LinkError> {
+        if let Some(connection) = self.open_connection() {
             return Ok(connection);
         }
-        let stream = connect(self.peer, CONNECT_LIMIT)
+        let stream = connect(self.peer, CONNECT_TIMEOUT)
             .await
             .map_err(|error| self.error(LinkStep::Connect, error))?;
-        let io = FuturesIo::new(Counted::new(stream, self.count.clone()));
+        let io = FuturesIo::new(Counted::new(stream, self.byte_count.clone()));
         let executor = SmolExecutor::new(Arc::clone(self.tasks.executor()));
         let (sender, connection) = Builder::new(executor)
             .handshake(io)
@@ -110,27 +119,27 @@
             }
         });
         let connection = Connection {
-            number: self.opened.fetch_add(1, Ordering::Relaxed),
+            number: self.connections_opened.fetch_add(1, Ordering::Relaxed),
             sender,
         };
-        *self.open() = Some(connection.clone());
+        *self.lock_connection() = Some(connection.clone());
         Ok(connection)
     }
 
     async fn send(self, req: Request<Body>) -> Result<Response<Incoming>, LinkError> {
-        let Connection { number, mut sender } = self.connection().await?;
+        let Connection { number, mut sender } = self.connect().await?;
         let req = self.with_authority(req)?;
-        let unanswered = Unanswered {
+        let guard = DiscardOnDrop {
             channel: &self,
             number,
         };
-        let answer = async {
+        let response = async {
             sender.ready().await?;
             sender.send_request(req).await
         };
-        match within(CALL_LIMIT, answer).await {
+        match within(CALL_TIMEOUT, response).await {
             Ok(Ok(response)) => {
-                unanswered.answered();
+                guard.disarm();
                 Ok(response)
             }
             Ok(Err(error)) => Err(self.error(LinkStep::Call, error)),
@@ -138,7 +147,7 @@
         }
     }
 
-    /// Completes the path that tonic sets to the absolute address that HTTP/2 demands.
+    /// Adds the scheme and the authority, which HTTP/2 requires. tonic sets only the path.
     fn with_authority(&self, req: Request<Body>) -> Result<Request<Body>, LinkError> {
         let (mut head, body) = req.into_parts();
         let mut parts = Parts::default();
@@ -150,25 +159,26 @@
     }
 }
 
-/// A call without an answer; dropped as one, it makes the next call open a new connection.
+/// Discards the connection of a call that is dropped without a response.
 ///
-/// Most callers wait for less than [`CALL_LIMIT`] and drop the call. An open connection may have fallen silent for
-/// good while new ones work, and nothing else would show it.
-struct Unanswered<'a> {
+/// An open connection can be dead while new connections to the same peer work. Nothing else would detect
+/// this, since most callers use a timeout shorter than [`CALL_TIMEOUT`] and drop the call.
+struct DiscardOnDrop<'a> {
     channel: &'a Channel,
-    /// The connection that it was sent on.
+    /// The connection that the call was sent on.
     number: u64,
 }
 
-impl Unanswered<'_> {
-    fn answered(self) {
+impl DiscardOnDrop<'_> {
+    /// Keeps the connection, because the call got its response.
+    fn disarm(self) {
         std::mem::forget(self);
     }
 }
 
-impl Drop for Unanswered<'_> {
+impl Drop for DiscardOnDrop<'_> {
     fn drop(&mut self) {
-        self.channel.forget(self.number);
+        self.channel.discard(self.number);
     }
 }
 
--- a/crates/sesamecart-links/src/channel/tests.rs
+++ b/crates/sesamecart-links/src/channel/tests.rs
@@ -1,4 +1,4 @@
-//! Connections that fall silent.
+//! Tests of connections that stop responding.
 
 use std::net::TcpListener;
 use std::sync::mpsc::channel;
@@ -6,23 +6,23 @@
 
 use sesamecart_runtime::{ByteCount, Worker, within};
 
-use super::CALL_LIMIT;
+use super::CALL_TIMEOUT;
 use crate::feed::FollowRequest;
 use crate::links::Links;
 
-/// How long the caller waits, less than what a link allows each call.
-const CALLER_LIMIT: Duration = Duration::from_millis(100);
+/// How long the caller waits; shorter than the timeout of a call.
+const CALLER_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Guards against calls into a connection that has fallen silent for good while new ones work.
+/// Guards against reusing a connection that no longer responds although new connections would work.
 #[test]
-fn a_caller_that_gave_up_calls_on_a_new_connection() {
-    assert!(CALLER_LIMIT < CALL_LIMIT);
+fn call_after_a_timeout_opens_a_new_connection() {
+    assert!(CALLER_TIMEOUT < CALL_TIMEOUT);
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port is free");
     let peer = listener.local_addr().expect("it is bound");
     let (accepted, connections) = channel();
     std::thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
-            // Kept open and never read.
+            // The receiver keeps the stream open, and nothing reads it.
             if accepted.send(stream).is_err() {
                 return;
             }
@@ -32,16 +32,16 @@
     let links = Links::new(worker.tasks().clone(), ByteCount::default());
     for _ in 0..2 {
         let mut feed = links.feed_of(peer);
-        let answer = within(CALLER_LIMIT, feed.follow(FollowRequest::default()));
-        let answer = async_io::block_on(answer);
-        assert!(answer.is_err(), "nobody answers");
+        let response = within(CALLER_TIMEOUT, feed.follow(FollowRequest::default()));
+        let response = async_io::block_on(response);
+        assert!(response.is_err(), "the call times out");
     }
-    let limit = Duration::from_secs(10);
-    let first = connections.recv_timeout(limit);
-    let second = connections.recv_timeout(limit);
+    let timeout = Duration::from_secs(10);
+    let first = connections.recv_timeout(timeout);
+    let second = connections.recv_timeout(timeout);
     assert!(first.is_ok());
     assert!(
         second.is_ok(),
-        "the second call went into the silent connection"
+        "the second call reused the connection that doesn't respond"
     );
 }
--- a/crates/sesamecart-links/src/error.rs
+++ b/crates/sesamecart-links/src/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong on a link, with the step and the peer.
+//! The error of a failed call over a link, with the step and the peer.
 
 use std::net::SocketAddr;
 
@@ -11,15 +11,15 @@
     /// Opening the connection.
     #[display("connect")]
     Connect,
-    /// Agreeing on HTTP/2.
+    /// Negotiating HTTP/2.
     #[display("handshake")]
     Handshake,
-    /// Sending the call or waiting for its answer.
+    /// Sending the call or waiting for its response.
     #[display("call")]
     Call,
 }
 
-/// A call over a link failed.
+/// The failure of a call over a link.
 #[derive(Debug, Display)]
 #[display("link to {peer}: {step}: {source}")]
 pub struct LinkError {
--- a/crates/sesamecart-links/src/lib.rs
+++ b/crates/sesamecart-links/src/lib.rs
@@ -1,6 +1,6 @@
-//! The links between nodes: typed messages over tonic and HTTP/2.
+//! The links between nodes: gRPC services on tonic over HTTP/2.
 //!
-//! See docs/design/links.md for which part of the node uses each message.
+//! docs/design/links.md lists the part of the node that uses each message.
 
 mod channel;
 mod error;
--- a/crates/sesamecart-links/src/links.rs
+++ b/crates/sesamecart-links/src/links.rs
@@ -1,4 +1,4 @@
-//! The links of one node to others.
+//! The pool of client channels from this node to its peers.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -10,42 +10,42 @@
 use crate::feed::feed_client::FeedClient;
 use crate::message::link_client::LinkClient;
 
-/// The most links that are kept open.
+/// The maximum number of channels that are kept; the oldest one is evicted.
 ///
-/// A node talks to a few peers at a time; without a bound, random heartbeats would keep one
-/// connection to every node that ever was.
-const MAX_OPEN: usize = 64;
+/// A node calls few peers at a time. Without a limit, heartbeats to random peers would keep a connection
+/// to every node that ever existed.
+const MAX_CHANNELS: usize = 64;
 
-/// The largest reply of a feed, in bytes: a configuration of 1,600 routes and 700 endpoints take less
-/// than 2 MB.
+/// The maximum size of a feed's reply. A configuration of 1,600 routes and 700 endpoints takes less than
+/// 2 MB.
 const MAX_FEED_BYTES: usize = 8 * 1024 * 1024;
 
-/// The links of one node, kept open between calls.
+/// A pool of channels to peers, kept open between calls.
 #[derive(Clone, Debug)]
 pub struct Links {
     tasks: Tasks,
-    count: ByteCount,
+    byte_count: ByteCount,
     channels: Arc<Mutex<IndexMap<SocketAddr, Channel>>>,
 }
 
 impl Links {
-    /// Makes links whose connections run on `tasks`.
+    /// Creates a pool whose connections run on `tasks` and add their traffic to `byte_count`.
     #[must_use]
-    pub fn new(tasks: Tasks, count: ByteCount) -> Self {
+    pub fn new(tasks: Tasks, byte_count: ByteCount) -> Self {
         Self {
             tasks,
-            count,
+            byte_count,
             channels: Arc::default(),
         }
     }
 
-    /// Returns the typed client for the node at `peer`.
+    /// Returns a client for the link service of the node at `peer`.
     #[must_use]
     pub fn to(&self, peer: SocketAddr) -> LinkClient<Channel> {
         LinkClient::new(self.channel(peer))
     }
 
-    /// Returns the typed client for the feed of the node at `peer`.
+    /// Returns a client for the feed service of the node at `peer`.
     #[must_use]
     pub fn feed_of(&self, peer: SocketAddr) -> FeedClient<Channel> {
         FeedClient::new(self.channel(peer)).max_decoding_message_size(MAX_FEED_BYTES)
@@ -56,10 +56,10 @@
         if let Some(channel) = channels.get(&peer) {
             return channel.clone();
         }
-        if channels.len() >= MAX_OPEN {
+        if channels.len() >= MAX_CHANNELS {
             channels.shift_remove_index(0);
         }
-        let channel = Channel::new(peer, self.tasks.clone(), self.count.clone());
+        let channel = Channel::new(peer, self.tasks.clone(), self.byte_count.clone());
         channels.insert(peer, channel.clone());
         channel
     }
--- a/crates/sesamecart-links/src/server.rs
+++ b/crates/sesamecart-links/src/server.rs
@@ -1,4 +1,4 @@
-//! The side of a link that takes calls.
+//! The server side of links and feeds.
 
 use std::convert::Infallible;
 use std::net::TcpListener;
@@ -16,45 +16,45 @@
 use crate::feed::feed_server::{Feed, FeedServer};
 use crate::message::link_server::{Link, LinkServer};
 
-/// The largest message taken, in bytes; a state hand-over is the largest.
+/// The maximum size of a message; a transfer of the whole state is the largest.
 const MAX_MESSAGE_BYTES: usize = 64 * 1024 * 1024;
 
-/// Takes links until the task is cancelled.
+/// Serves the link service until the task is cancelled.
 ///
 /// # Errors
 ///
-/// Returns the system's error when the listener can't be watched.
+/// Returns the I/O error if the listener can't be registered with the event loop.
 pub async fn serve(
     listener: TcpListener,
     link: impl Link,
     tasks: Tasks,
-    count: ByteCount,
+    byte_count: ByteCount,
 ) -> std::io::Result<()> {
     let server = LinkServer::new(link)
         .max_decoding_message_size(MAX_MESSAGE_BYTES)
         .max_encoding_message_size(MAX_MESSAGE_BYTES);
-    serve_calls(listener, server, tasks, count).await
+    serve_calls(listener, server, tasks, byte_count).await
 }
 
-/// Passes on what this node reads of the store until the task is cancelled.
+/// Serves the feed service, which relays what this node reads from the store, until the task is cancelled.
 ///
 /// # Errors
 ///
-/// Returns the system's error when the listener can't be watched.
+/// Returns the I/O error if the listener can't be registered with the event loop.
 pub async fn serve_feed(
     listener: TcpListener,
     feed: impl Feed,
     tasks: Tasks,
-    count: ByteCount,
+    byte_count: ByteCount,
 ) -> std::io::Result<()> {
-    serve_calls(listener, FeedServer::new(feed), tasks, count).await
+    serve_calls(listener, FeedServer::new(feed), tasks, byte_count).await
 }
 
 async fn serve_calls<S>(
     listener: TcpListener,
     server: S,
     tasks: Tasks,
-    count: ByteCount,
+    byte_count: ByteCount,
 ) -> std::io::Result<()>
 where
     S: Service<http::Request<Incoming>, Response = http::Response<Body>, Error = Infallible>
@@ -73,7 +73,7 @@
             async move { server.call(req).await }
         });
         let executor = SmolExecutor::new(Arc::clone(tasks.executor()));
-        let io = FuturesIo::new(Counted::new(accepted.stream, count.clone()));
+        let io = FuturesIo::new(Counted::new(accepted.stream, byte_count.clone()));
         let connection = Builder::new(executor)
             .timer(SmolTimer::new())
             .serve_connection(io, service);
