--- a/crates/sesamecart-edges/src/body.rs
+++ b/crates/sesamecart-edges/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of requests and answers, read within bounds.
+//! Bodies of requests and responses, read within limits of size and time.
 
 use std::time::Duration;
 
@@ -10,13 +10,13 @@
 use sesamecart_runtime::within;
 use sesamecart_vocabulary::Bytes as ByteSize;
 
-/// An error of any body.
+/// The boxed error of a body or a client call.
 pub type BoxError = Box<dyn std::error::Error + Send + Sync>;
 
-/// The body of an answer to a caller.
+/// The body of a response to a caller.
 pub type CallerBody = UnsyncBoxBody<Bytes, BoxError>;
 
-/// Makes a body of bytes that are all there.
+/// Creates a body from bytes in memory.
 #[must_use]
 pub fn whole(bytes: impl Into<Bytes>) -> CallerBody {
     Full::new(bytes.into())
@@ -24,44 +24,48 @@
         .boxed_unsync()
 }
 
-/// Makes a body without bytes.
+/// Creates an empty body.
 #[must_use]
 pub fn empty() -> CallerBody {
     whole(Bytes::new())
 }
 
-/// Why a body couldn't be read.
+/// The reason why a body could not be read.
 #[derive(Debug, Display, Error)]
 pub enum ReadBodyError {
-    /// The body is larger than what is taken.
+    /// The body exceeds the maximum size.
     #[display("the body has more than {_0} bytes")]
     TooLarge(#[error(not(source))] ByteSize),
-    /// The other side sent it too slowly.
+    /// The body did not arrive within the timeout.
     #[display("the body did not arrive within {} ms", _0.as_millis())]
     TooSlow(#[error(not(source))] Duration),
-    /// The connection broke.
+    /// The connection failed before the end of the body.
     #[display("the body broke off: {_0}")]
     Broken(#[error(not(source))] BoxError),
 }
 
 /// Reads a body to its end.
 ///
-/// Both bounds are there because one caller that sends without end, or stops in the middle, would
-/// otherwise hold memory for as long as it likes.
+/// Without the limits, a caller that never stops sending, or that stalls in the middle, would hold memory
+/// indefinitely.
 ///
 /// # Errors
 ///
-/// Returns an error when the body passes a bound or breaks off.
-pub async fn read_whole<B>(body: B, max: ByteSize, limit: Duration) -> Result<Bytes, ReadBodyError>
+/// Returns an error if the body exceeds `max` bytes, takes longer than `timeout` or ends early.
+pub async fn read_whole<B>(
+    body: B,
+    max: ByteSize,
+    timeout: Duration,
+) -> Result<Bytes, ReadBodyError>
 where
     B: Body,
     B::Error: Into<BoxError>,
 {
     let max_len = usize::try_from(max.0).unwrap_or(usize::MAX);
-    match within(limit, Limited::new(body, max_len).collect()).await {
+    match within(timeout, Limited::new(body, max_len).collect()).await {
         Ok(Ok(collected)) => Ok(collected.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => Err(ReadBodyError::TooLarge(max)),
         Ok(Err(error)) => Err(ReadBodyError::Broken(error)),
-        Err(_) => Err(ReadBodyError::TooSlow(limit)),
+        Err(_) => Err(ReadBodyError::TooSlow(timeout)),
     }
 }
--- a/crates/sesamecart-edges/src/client.rs
+++ b/crates/sesamecart-edges/src/client.rs
@@ -1,4 +1,4 @@
-//! The HTTP client for endpoints and the platform, which knows whether a request went out.
+//! The HTTP client for endpoints and the platform, which reports whether a request may have reached the peer.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -18,27 +18,27 @@
 
 use crate::body::{BoxError, read_whole};
 
-/// The most idle connections that are kept for one peer.
-const MAX_IDLE: usize = 64;
+/// The maximum number of idle connections that are kept for one peer.
+const MAX_IDLE_PER_PEER: usize = 64;
 
-/// How long a connection may be idle and still be used again.
+/// How long a connection may be idle and still be reused.
 ///
-/// Servers close idle connections; a request written into one that is just closing may or may not
-/// have been read.
-const IDLE_LIMIT: Duration = Duration::from_secs(20);
+/// Servers close idle connections. If a request is written to a connection while the server closes it, the
+/// client can't know whether the server read the request.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// The largest answer head, in bytes.
+/// The maximum size of a response head.
 const MAX_HEAD_BYTES: usize = 64 * 1024;
 
 /// Whether any part of a request may have reached the peer.
 ///
-/// A refusal that says "not run" is only true after [`Sent::Nothing`].
+/// A response may say that a request was not run only after [`Sent::Nothing`].
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
 pub enum Sent {
-    /// Nothing of the request was handed to a socket.
+    /// No byte of the request was written to a socket.
     #[display("nothing was sent")]
     Nothing,
-    /// The peer may have read it.
+    /// The peer may have read the request.
     #[display("it may have been read")]
     Maybe,
 }
@@ -49,12 +49,12 @@
     /// Opening a connection.
     #[display("connect")]
     Connect,
-    /// Sending the request or waiting for the answer's head.
+    /// Sending the request or waiting for the response head.
     #[display("request")]
     Request,
 }
 
-/// Why an exchange failed.
+/// The error of a failed exchange.
 #[derive(Debug, Display, Error)]
 #[display("{peer}: {step}: {source} ({sent})")]
 pub struct ClientError {
@@ -62,56 +62,57 @@
     pub step: Step,
     /// The peer.
     pub peer: SocketAddr,
-    /// Whether anything may have reached the peer.
+    /// Whether any part of the request may have reached the peer.
     pub sent: Sent,
     #[error(not(source))]
     source: BoxError,
 }
 
-/// Whether a request may go out on a connection that served another one before.
+/// Whether a request may be sent on a pooled connection.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Reuse {
-    /// Take an idle connection if there is one.
+    /// Use an idle connection if there is one.
     Allowed,
     /// Open a new connection.
     ///
-    /// A peer may close an idle connection while a request is written into it. Such a request has
-    /// an unknown outcome, so one that must not be repeated never goes out on a used connection.
+    /// A peer may close an idle connection while a request is written to it, which leaves the request's
+    /// outcome unknown. Requests that must not be repeated are therefore never sent on a pooled connection.
     Never,
 }
 
 type Sender = SendRequest<Full<Bytes>>;
 
+/// A connection in the pool.
 #[derive(Debug)]
-struct Idle {
+struct IdleConnection {
     #[debug(skip)]
     sender: Sender,
     since: Instant,
 }
 
-type Pool = Arc<Mutex<IndexMap<SocketAddr, Vec<Idle>>>>;
+type Pool = Arc<Mutex<IndexMap<SocketAddr, Vec<IdleConnection>>>>;
 
-/// An HTTP client that pools its connections.
+/// An HTTP/1.1 client with a pool of connections for each peer.
 #[derive(Clone, Debug)]
 pub struct HttpClient {
     tasks: Tasks,
     idle: Pool,
-    connect_limit: Duration,
+    connect_timeout: Duration,
 }
 
-/// An answer whose head has arrived.
+/// A response whose head has arrived.
 #[derive(Debug)]
 pub struct Exchange {
-    /// The answer.
+    /// The response.
     pub response: Response<Incoming>,
-    /// The connection, given back when the body has been read to its end.
+    /// The connection, which can be returned to the pool once the body has been read to its end.
     pub lease: ConnectionLease,
 }
 
-/// The hold on a connection while an answer's body is read.
+/// Exclusive use of a connection while a response body is read.
 ///
-/// Dropping it without [`ConnectionLease::give_back`] closes the connection, which cancels the
-/// request at an engine.
+/// Dropping it without [`ConnectionLease::give_back`] closes the connection, which makes an engine cancel
+/// the request.
 #[derive(Debug)]
 pub struct ConnectionLease {
     #[debug(skip)]
@@ -121,20 +122,20 @@
 }
 
 impl ConnectionLease {
-    /// Returns the connection to the pool; call it only after the body's clean end.
+    /// Returns the connection to the pool. Call it only after the body was read to its end without an error.
     pub fn give_back(self) {
-        self.give_back_up_to(MAX_IDLE);
+        self.give_back_up_to(MAX_IDLE_PER_PEER);
     }
 
-    /// Returns the connection to the pool unless it holds `most` of this peer already.
+    /// Returns the connection to the pool unless the pool already has `max_idle` connections to this peer.
     ///
-    /// A peer that takes a fixed number of connections from all callers together resets those beyond
-    /// it, requests included, when each caller keeps as many as it likes.
-    pub fn give_back_up_to(self, most: usize) {
+    /// A peer that limits the total number of connections of all its clients resets those beyond the limit,
+    /// with the requests on them, so a client must not keep an unlimited number of idle connections.
+    pub fn give_back_up_to(self, max_idle: usize) {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let pool = idle.entry(self.peer).or_default();
-        if pool.len() < most.min(MAX_IDLE) {
-            pool.push(Idle {
+        if pool.len() < max_idle.min(MAX_IDLE_PER_PEER) {
+            pool.push(IdleConnection {
                 sender: self.sender,
                 since: Instant::now(),
             });
@@ -143,35 +144,35 @@
 }
 
 impl HttpClient {
-    /// Makes a client whose connections run on `tasks`.
+    /// Creates a client whose connections run on `tasks`.
     #[must_use]
-    pub fn new(tasks: Tasks, connect_limit: Duration) -> Self {
+    pub fn new(tasks: Tasks, connect_timeout: Duration) -> Self {
         Self {
             tasks,
             idle: Arc::default(),
-            connect_limit,
+            connect_timeout,
         }
     }
 
-    /// Sends a request and waits at most `limit` for the answer's head.
+    /// Sends a request and waits up to `timeout` for the response head.
     ///
     /// # Errors
     ///
-    /// Returns an error that tells whether the peer may have read the request.
+    /// Returns an error whose `sent` field says whether the peer may have read the request.
     pub async fn send(
         &self,
         peer: SocketAddr,
         req: Request<Full<Bytes>>,
         reuse: Reuse,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<Exchange, ClientError> {
-        let deadline = Instant::now() + limit;
+        let deadline = Instant::now() + timeout;
         let mut req = req;
         while let Some(sender) = self.take_idle(peer, reuse) {
             match self.exchange(peer, sender, req, deadline).await {
                 Ok(exchange) => return Ok(exchange),
-                // The connection had closed before anything was written: try the next one.
-                Err(Failed {
+                // The connection was closed before anything was written: try the next one.
+                Err(ExchangeFailure {
                     unsent: Some(unsent),
                     ..
                 }) => req = *unsent,
@@ -184,24 +185,26 @@
             .map_err(|failed| failed.error)
     }
 
-    /// Gets a path and reads the whole answer, whatever its status, within `max` bytes and `limit`.
+    /// Sends a GET request and reads the whole response, whatever its status.
+    ///
+    /// The body may have up to `max` bytes. `timeout` applies to the response head and again to the body.
     ///
     /// # Errors
     ///
-    /// Returns what failed: the request, the exchange or the reading of the answer.
+    /// Returns an error if the request is invalid, the exchange fails or the body can't be read.
     pub async fn get(
         &self,
         peer: SocketAddr,
         path: &str,
         max: ByteSize,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<Response<Bytes>, BoxError> {
         let req = Request::get(path)
             .header(HOST, peer.to_string())
             .body(Full::new(Bytes::new()))?;
-        let exchange = self.send(peer, req, Reuse::Allowed, limit).await?;
+        let exchange = self.send(peer, req, Reuse::Allowed, timeout).await?;
         let (head, body) = exchange.response.into_parts();
-        let body = read_whole(body, max, limit).await?;
+        let body = read_whole(body, max, timeout).await?;
         exchange.lease.give_back();
         Ok(Response::from_parts(head, body))
     }
@@ -212,8 +215,8 @@
         }
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let pool = idle.get_mut(&peer)?;
-        while let Some(Idle { sender, since }) = pool.pop() {
-            if !sender.is_closed() && since.elapsed() < IDLE_LIMIT {
+        while let Some(IdleConnection { sender, since }) = pool.pop() {
+            if !sender.is_closed() && since.elapsed() < IDLE_TIMEOUT {
                 return Some(sender);
             }
         }
@@ -227,8 +230,8 @@
             sent: Sent::Nothing,
             source,
         };
-        let left = deadline.saturating_duration_since(Instant::now());
-        let stream = connect(peer, self.connect_limit.min(left))
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        let stream = connect(peer, self.connect_timeout.min(remaining))
             .await
             .map_err(|cause| error(cause.into()))?;
         let (sender, connection) = Builder::new()
@@ -250,32 +253,32 @@
         mut sender: Sender,
         req: Request<Full<Bytes>>,
         deadline: Instant,
-    ) -> Result<Exchange, Failed> {
+    ) -> Result<Exchange, ExchangeFailure> {
         let error = |sent, source| ClientError {
             step: Step::Request,
             peer,
             sent,
             source,
         };
-        let left = deadline.saturating_duration_since(Instant::now());
-        match within(left, sender.ready()).await {
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        match within(remaining, sender.ready()).await {
             Ok(Ok(())) => {}
             Ok(Err(cause)) => {
                 let error = error(Sent::Nothing, cause.into());
-                return Err(Failed {
+                return Err(ExchangeFailure {
                     unsent: Some(Box::new(req)),
                     error,
                 });
             }
             Err(cause) => {
-                return Err(Failed {
+                return Err(ExchangeFailure {
                     unsent: None,
                     error: error(Sent::Nothing, cause.into()),
                 });
             }
         }
-        let left = deadline.saturating_duration_since(Instant::now());
-        match within(left, sender.try_send_request(req)).await {
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        match within(remaining, sender.try_send_request(req)).await {
             Ok(Ok(response)) => {
                 let lease = ConnectionLease {
                     sender,
@@ -285,19 +288,19 @@
                 Ok(Exchange { response, lease })
             }
             Ok(Err(mut failed)) => {
-                // The library hands the request back only when none of it was written.
+                // hyper returns the request only if no part of it was written.
                 let unsent = failed.take_message().map(Box::new);
                 let sent = if unsent.is_some() {
                     Sent::Nothing
                 } else {
                     Sent::Maybe
                 };
-                Err(Failed {
+                Err(ExchangeFailure {
                     unsent,
                     error: error(sent, failed.into_error().into()),
                 })
             }
-            Err(cause) => Err(Failed {
+            Err(cause) => Err(ExchangeFailure {
                 unsent: None,
                 error: error(Sent::Maybe, cause.into()),
             }),
@@ -305,7 +308,8 @@
     }
 }
 
-struct Failed {
+/// A failed exchange, with the request if it can be sent again on another connection.
+struct ExchangeFailure {
     unsent: Option<Box<Request<Full<Bytes>>>>,
     error: ClientError,
 }
--- a/crates/sesamecart-edges/src/header.rs
+++ b/crates/sesamecart-edges/src/header.rs
@@ -1,30 +1,30 @@
-//! The headers that nodes, endpoints and callers exchange.
+//! Names of the HTTP headers that nodes, endpoints and callers use.
 
 use http::HeaderName;
 
-/// The attempt id; an answer without it is dropped.
+/// The attempt id; a response without it is discarded.
 pub const ATTEMPT: HeaderName = HeaderName::from_static("x-sesamecart-attempt");
-/// The request id, for following one request over nodes.
+/// The request id, used to trace a request across nodes.
 pub const REQUEST: HeaderName = HeaderName::from_static("x-sesamecart-request");
-/// Milliseconds that are left for the request.
+/// The milliseconds that remain until the request's deadline.
 pub const DEADLINE_MS: HeaderName = HeaderName::from_static("x-sesamecart-deadline-ms");
-/// The priority of the request at the engine; lower goes first.
+/// The request's priority at the engine; lower values are served first.
 pub const PRIORITY: HeaderName = HeaderName::from_static("x-sesamecart-priority");
-/// The fencing number under which the request was let in.
+/// The fencing token (lease epoch) under which the request was admitted.
 pub const EPOCH: HeaderName = HeaderName::from_static("x-sesamecart-epoch");
 /// The generation of the serving group that the node chose.
 pub const GENERATION: HeaderName = HeaderName::from_static("x-sesamecart-generation");
-/// The number of tokens already passed on, when a broken stream is resumed.
+/// The number of tokens that were already forwarded when a broken stream is resumed.
 pub const RESUME_AT: HeaderName = HeaderName::from_static("x-sesamecart-resume-at");
-/// Set on an answer that says that nothing was run.
+/// Set on a response if no part of the request was run.
 pub const NOT_RUN: HeaderName = HeaderName::from_static("x-sesamecart-not-run");
-/// What became of a request: `answered`, `not-run` or `unknown`.
+/// The outcome of a request: `answered`, `not-run` or `unknown`.
 pub const OUTCOME: HeaderName = HeaderName::from_static("x-sesamecart-outcome");
-/// The one try of a keyed action, by which an endpoint can be asked what became of it.
+/// The attempt id of a keyed action, used to query its outcome at an endpoint.
 pub const ACTION: HeaderName = HeaderName::from_static("x-sesamecart-action");
-/// Set on an answer that was given before to a request with the same idempotency key.
+/// Set on a stored response that is replayed for a request with the same idempotency key.
 pub const REPLAYED: HeaderName = HeaderName::from_static("idempotency-replayed");
-/// The class that a caller asks for.
+/// The traffic class that a caller requests.
 pub const CLASS: HeaderName = HeaderName::from_static("x-sesamecart-class");
-/// The caller's key for an action that must run at most once.
+/// The caller's idempotency key for an action that must run at most once.
 pub const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
--- a/crates/sesamecart-edges/src/lib.rs
+++ b/crates/sesamecart-edges/src/lib.rs
@@ -1,7 +1,7 @@
-//! The process's edges: HTTP servers and clients, platform adapters, TLS.
+//! External I/O of the process: HTTP servers and clients, platform adapters and TLS.
 //!
-//! Everything that reaches a process or leaves it passes here, so that the decisions behind it can
-//! be read and tested without a network. docs/design/platform.md gives the protocols.
+//! All traffic into and out of a process passes through this crate, so that the logic in the other crates
+//! can be read and tested without a network. docs/design/platform.md describes the protocols.
 
 mod body;
 mod client;
--- a/crates/sesamecart-edges/src/log_service.rs
+++ b/crates/sesamecart-edges/src/log_service.rs
@@ -1,4 +1,4 @@
-//! The platform's log service: the trait that the node uses and its HTTP adapter.
+//! The client of the platform's log service: the trait that the node uses and its HTTP implementation.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,89 +16,89 @@
 use crate::body::{BoxError, read_whole};
 use crate::client::{HttpClient, Reuse, Sent};
 
-/// The largest answer of the log that is read, in bytes.
-const MAX_PAGE: ByteSize = ByteSize(64 * 1024 * 1024);
+/// The maximum size of a response of the log.
+const MAX_RESPONSE_BYTES: ByteSize = ByteSize(64 * 1024 * 1024);
 
-/// A record as the log keeps it.
+/// A record as stored in the log.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct LoggedRecord {
-    /// Its position.
+    /// The record's position in the log.
     pub offset: Offset,
-    /// When the log took it, in milliseconds of the log's own clock.
+    /// When the record was appended, in milliseconds of the log's clock.
     pub time_ms: u64,
-    /// Its bytes.
+    /// The content of the record.
     pub data: Bytes,
 }
 
-/// A part of the log.
+/// Consecutive records read from the log.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct LogPage {
-    /// The oldest offset that the log still keeps.
+    /// The oldest offset that the log retains.
     pub first: Offset,
-    /// The offset that the next append gets.
+    /// The offset of the next append.
     pub next: Offset,
-    /// The records from the wanted offset on.
+    /// The records, starting at the requested offset.
     pub records: Vec<LoggedRecord>,
 }
 
-/// Why the log didn't do what was asked.
+/// The error of a call to the log service.
 #[derive(Debug, Display, Error)]
 pub enum LogError {
-    /// The log refused before it kept anything.
+    /// The log rejected the call without storing anything.
     #[display("log {step} at {peer}: refused with {status}")]
     Refused {
-        /// The step.
+        /// The operation: `append` or `read`.
         step: &'static str,
-        /// The log service.
+        /// The address of the log service.
         peer: SocketAddr,
-        /// What it answered.
+        /// The HTTP status of the response.
         status: StatusCode,
     },
-    /// Nothing reached the log.
+    /// No part of the request reached the log.
     #[display("log {step} at {peer}: not reached: {reason}")]
     NotReached {
-        /// The step.
+        /// The operation: `append` or `read`.
         step: &'static str,
-        /// The log service.
+        /// The address of the log service.
         peer: SocketAddr,
-        /// What failed.
+        /// The cause.
         #[error(not(source))]
         reason: BoxError,
     },
-    /// The answer was lost: an append may have taken effect.
+    /// No usable response arrived; an append may have taken effect.
     #[display("log {step} at {peer}: no answer: {reason}")]
     NoAnswer {
-        /// The step.
+        /// The operation: `append` or `read`.
         step: &'static str,
-        /// The log service.
+        /// The address of the log service.
         peer: SocketAddr,
-        /// What failed.
+        /// The cause.
         #[error(not(source))]
         reason: BoxError,
     },
 }
 
-/// The platform's append-only log, as the node sees it.
+/// A client of the platform's append-only log.
 pub trait Log: Send + Sync + std::fmt::Debug {
     /// Appends a record and returns its offset once it is durable.
     ///
-    /// After [`LogError::NoAnswer`] the record may be there: read back before appending again.
+    /// After [`LogError::NoAnswer`] the record may be in the log, so read the log before appending it again.
     fn append(&self, data: Bytes) -> Boxed<Result<Offset, LogError>>;
 
-    /// Reads records from an offset on, waiting up to `wait` for the first.
+    /// Reads up to `limit` records starting at `from`, waiting up to `wait` for the first one.
     fn read(&self, from: Offset, limit: usize, wait: Duration) -> Boxed<Result<LogPage, LogError>>;
 }
 
-/// The log service over HTTP.
+/// The HTTP client of the log service.
 #[derive(Clone, Debug)]
 pub struct HttpLog {
     client: HttpClient,
     peer: SocketAddr,
-    limit: Duration,
+    timeout: Duration,
 }
 
 #[derive(Serialize, Deserialize)]
-struct Appended {
+struct AppendReply {
     offset: Offset,
 }
 
@@ -117,13 +117,13 @@
 }
 
 impl HttpLog {
-    /// Makes an adapter for the log at `peer`; each call takes at most `limit` beyond its wait.
+    /// Creates a client of the log at `peer`. A call times out after `timeout`, plus the `wait` of a read.
     #[must_use]
-    pub fn new(client: HttpClient, peer: SocketAddr, limit: Duration) -> Self {
+    pub fn new(client: HttpClient, peer: SocketAddr, timeout: Duration) -> Self {
         Self {
             client,
             peer,
-            limit,
+            timeout,
         }
     }
 
@@ -133,7 +133,7 @@
         method: Method,
         path: String,
         data: Bytes,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<Bytes, LogError> {
         let peer = self.peer;
         let no_answer = |reason: BoxError| LogError::NoAnswer { step, peer, reason };
@@ -149,7 +149,7 @@
             })?;
         let exchange = self
             .client
-            .send(peer, req, Reuse::Allowed, limit)
+            .send(peer, req, Reuse::Allowed, timeout)
             .await
             .map_err(|error| match error.sent {
                 Sent::Nothing => LogError::NotReached {
@@ -160,7 +160,7 @@
                 Sent::Maybe => no_answer(error.into()),
             })?;
         let status = exchange.response.status();
-        let body = read_whole(exchange.response.into_body(), MAX_PAGE, limit)
+        let body = read_whole(exchange.response.into_body(), MAX_RESPONSE_BYTES, timeout)
             .await
             .map_err(|error| no_answer(error.into()))?;
         exchange.lease.give_back();
@@ -177,10 +177,10 @@
                 Method::POST,
                 "/append".to_owned(),
                 data,
-                self.limit,
+                self.timeout,
             )
             .await?;
-        let appended: Appended = self.parse("append", &body)?;
+        let appended: AppendReply = self.parse("append", &body)?;
         Ok(appended.offset)
     }
 
@@ -195,7 +195,7 @@
             wait.as_millis()
         );
         let body = self
-            .call("read", Method::GET, path, Bytes::new(), self.limit + wait)
+            .call("read", Method::GET, path, Bytes::new(), self.timeout + wait)
             .await?;
         let page: Page = self.parse("read", &body)?;
         let records = page
--- a/crates/sesamecart-edges/src/server.rs
+++ b/crates/sesamecart-edges/src/server.rs
@@ -1,4 +1,4 @@
-//! The HTTP server of callers and operators, with bounds on what one connection may hold.
+//! The HTTP server for callers and operators, with limits for its connections.
 
 use std::convert::Infallible;
 use std::net::{SocketAddr, TcpListener};
@@ -19,14 +19,14 @@
 use crate::body::CallerBody;
 use crate::tls::TlsServer;
 
-/// Bounds on the connections of one server.
+/// Limits for the connections of one server.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerLimits {
-    /// The most connections at once.
+    /// The maximum number of concurrent connections.
     pub max_connections: usize,
-    /// How long a request's head may take to arrive, counted from the end of the one before.
+    /// The timeout for receiving a request head, counted from the end of the previous request.
     pub head_limit: Duration,
-    /// The largest head, in bytes.
+    /// The maximum size of a request head.
     pub max_head_bytes: usize,
 }
 
@@ -40,53 +40,54 @@
     }
 }
 
-/// How long the server rests when it has all the connections it may have.
-const FULL_REST: Duration = Duration::from_millis(5);
+/// How long the server waits at the connection limit before it accepts again.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(5);
 
-/// The connections that a server has open.
+/// A shared counter of a server's open connections.
 #[derive(Clone, Debug, Default)]
 pub struct Connections(Arc<AtomicUsize>);
 
 impl Connections {
-    /// Returns how many are open.
+    /// Returns the number of open connections.
     #[must_use]
     pub fn open(&self) -> usize {
         self.0.load(Ordering::Acquire)
     }
 
-    fn enter(&self) -> OpenConnection {
+    /// Counts one more connection until the guard is dropped.
+    fn register(&self) -> ConnectionGuard {
         self.0.fetch_add(1, Ordering::AcqRel);
-        OpenConnection(Arc::clone(&self.0))
+        ConnectionGuard(Arc::clone(&self.0))
     }
 }
 
-struct OpenConnection(Arc<AtomicUsize>);
+struct ConnectionGuard(Arc<AtomicUsize>);
 
-impl Drop for OpenConnection {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::AcqRel);
     }
 }
 
-/// How long a TLS handshake may take; a peer that stays silent would hold a connection for nothing.
-const HANDSHAKE_LIMIT: Duration = Duration::from_secs(10);
+/// The timeout of a TLS handshake, without which a peer that sends nothing would hold a connection forever.
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Takes connections and hands their requests to `handle` until `leave` is given.
+/// Accepts connections and passes their requests to `handle` until `shutdown` is signalled.
 ///
-/// Connections that are open then end after the request they are at, so that a graceful shutdown
-/// cuts nothing off. `limits` is asked for each connection anew, so that they may follow a
-/// configuration.
+/// Open connections then close after their current request, so that a graceful shutdown interrupts no
+/// request. `limits` is called for each connection, so that a new configuration takes effect without a
+/// restart.
 ///
 /// # Errors
 ///
-/// Returns the system's error when the listener can't be watched.
+/// Returns the I/O error if the listener can't be registered with the event loop.
 pub async fn serve<H, F>(
     listener: TcpListener,
     tls: Option<TlsServer>,
     limits: impl Fn() -> ServerLimits,
     tasks: Tasks,
     connections: Connections,
-    leave: Signal,
+    shutdown: Signal,
     handle: H,
 ) -> std::io::Result<()>
 where
@@ -96,34 +97,34 @@
     let listener = Async::new(listener)?;
     loop {
         if connections.open() >= limits().max_connections {
-            future::or(sleep(FULL_REST), leave.wait()).await;
+            future::or(sleep(ACCEPT_BACKOFF), shutdown.wait()).await;
         }
         let accepted = future::or(async { Some(accept(&listener).await) }, async {
-            leave.wait().await;
+            shutdown.wait().await;
             None
         })
         .await;
         let Some(accepted) = accepted else {
             return Ok(());
         };
-        let open = connections.enter();
-        let leave = leave.clone();
+        let guard = connections.register();
+        let shutdown = shutdown.clone();
         let handle = handle.clone();
         let tls = tls.clone();
         let limits = limits();
         tasks.spawn(async move {
-            take_connection(accepted, tls, limits, leave, handle).await;
-            drop(open);
+            serve_connection(accepted, tls, limits, shutdown, handle).await;
+            drop(guard);
         });
     }
 }
 
-/// Runs a connection, after a handshake where the side takes TLS.
-async fn take_connection<H, F>(
+/// Serves a connection, after a TLS handshake if `tls` is set.
+async fn serve_connection<H, F>(
     accepted: Accepted,
     tls: Option<TlsServer>,
     limits: ServerLimits,
-    leave: Signal,
+    shutdown: Signal,
     handle: H,
 ) where
     H: Fn(Request<Incoming>, SocketAddr) -> F + Clone + Send + 'static,
@@ -131,20 +132,20 @@
 {
     let peer = accepted.peer;
     let Some(tls) = tls else {
-        return run_connection(accepted.stream, peer, limits, leave, handle).await;
+        return serve_http(accepted.stream, peer, limits, shutdown, handle).await;
     };
-    match within(HANDSHAKE_LIMIT, tls.acceptor().accept(accepted.stream)).await {
-        Ok(Ok(stream)) => run_connection(stream, peer, limits, leave, handle).await,
-        Ok(Err(error)) => log::debug!("server: TLS with {peer}: {error}."),
-        Err(_) => log::debug!("server: TLS with {peer}: the handshake took too long."),
+    match within(HANDSHAKE_TIMEOUT, tls.acceptor().accept(accepted.stream)).await {
+        Ok(Ok(stream)) => serve_http(stream, peer, limits, shutdown, handle).await,
+        Ok(Err(error)) => log::debug!("server: TLS handshake with {peer} failed: {error}."),
+        Err(_) => log::debug!("server: TLS handshake with {peer} timed out."),
     }
 }
 
-async fn run_connection<S, H, F>(
+async fn serve_http<S, H, F>(
     stream: S,
     peer: SocketAddr,
     limits: ServerLimits,
-    leave: Signal,
+    shutdown: Signal,
     handle: H,
 ) where
     S: AsyncRead + AsyncWrite + Unpin,
@@ -152,8 +153,8 @@
     F: Future<Output = Response<CallerBody>> + Send + 'static,
 {
     let service = service_fn(move |req| {
-        let answer = handle(req, peer);
-        async move { Ok::<_, Infallible>(answer.await) }
+        let response = handle(req, peer);
+        async move { Ok::<_, Infallible>(response.await) }
     });
     let connection = Builder::new()
         .timer(SmolTimer::new())
@@ -162,7 +163,7 @@
         .serve_connection(FuturesIo::new(stream), service);
     let mut connection = pin!(connection);
     let ended = future::or(async { Some(connection.as_mut().await) }, async {
-        leave.wait().await;
+        shutdown.wait().await;
         None
     })
     .await;
--- a/crates/sesamecart-edges/src/tls.rs
+++ b/crates/sesamecart-edges/src/tls.rs
@@ -1,4 +1,4 @@
-//! TLS by rustls: certificates from settings, checked before use and read again without a restart.
+//! TLS with rustls: certificates from settings, which are checked before use and reloaded without a restart.
 
 mod certificate;
 mod server;
@@ -18,44 +18,44 @@
 use rustls_pki_types::{CertificateDer, PrivateKeyDer};
 use sesamecart_config::TlsFiles;
 
-pub use certificate::Weakness;
+pub use certificate::CertificateError;
 pub use server::{Reload, TlsServer};
 
-/// A file can't be used for TLS.
+/// The error of a file that can't be used for TLS.
 #[derive(Clone, Debug, Display, Error)]
 #[display("tls: {}: {reason}", file.display())]
 pub struct TlsError {
     /// The file.
     pub file: PathBuf,
-    /// Why it can't be used.
+    /// Why the file can't be used.
     #[error(not(source))]
     pub reason: TlsReason,
 }
 
-/// Why a file can't be used for TLS.
+/// The reason why a file can't be used for TLS.
 #[derive(Clone, Debug, Display)]
 pub enum TlsReason {
-    /// It can't be read, or isn't PEM of the right kind.
+    /// The file can't be read or isn't PEM of the expected kind.
     #[display("can't be read: {_0}")]
     Unreadable(String),
-    /// It holds no certificate.
+    /// The file contains no certificate.
     #[display("holds no certificate")]
     Empty,
-    /// A certificate in it must not be used.
-    #[display("certificate {number}: {weakness}")]
+    /// A certificate in the file must not be used.
+    #[display("certificate {number}: {cause}")]
     Certificate {
-        /// The certificate's place in the file, from 1.
+        /// The position of the certificate in the file, starting at 1.
         number: usize,
-        /// What is wrong with it.
-        weakness: Weakness,
+        /// Why the certificate must not be used.
+        cause: CertificateError,
     },
-    /// Settings ask for the other side's certificate but name no authorities.
+    /// The settings require peer certificates but name no certificate authorities.
     #[display("client_certificates needs authorities")]
     NoAuthorities,
-    /// rustls refuses it.
+    /// rustls rejects the certificate or the key.
     #[display("{_0}")]
     Refused(rustls::Error),
-    /// rustls can't check other certificates by it.
+    /// rustls can't build a certificate verifier from the file.
     #[display("{_0}")]
     Verifier(String),
 }
@@ -64,11 +64,11 @@
     Arc::new(ring::default_provider())
 }
 
-/// Makes the server's side from files that are valid at `now`.
+/// Builds the configuration of a server from files, whose certificates must be valid at `now`.
 ///
 /// # Errors
 ///
-/// Returns an error that names the file and why it can't be used.
+/// Returns an error with the file and the reason if a file can't be used.
 pub fn server_config(
     files: &TlsFiles,
     protocols: &[&[u8]],
@@ -98,13 +98,14 @@
     Ok(config)
 }
 
-/// Makes the client's side of links from files that are valid at `now`.
+/// Builds the configuration of a link's client from files, whose certificates must be valid at `now`.
 ///
-/// Only servers that the files' authorities have signed are trusted; without authorities nothing is.
+/// Only server certificates that are signed by the configured authorities are trusted, so the files must
+/// name authorities.
 ///
 /// # Errors
 ///
-/// Returns an error that names the file and why it can't be used.
+/// Returns an error with the file and the reason if a file can't be used.
 pub fn client_config(
     files: &TlsFiles,
     protocols: &[&[u8]],
@@ -148,7 +149,7 @@
     Ok(roots)
 }
 
-/// Reads a file's certificates and checks each.
+/// Reads the certificates in a file and checks each of them.
 fn certificates(file: &Path, now: UnixTime) -> Result<Chain, TlsError> {
     let certificates: Result<Chain, _> = CertificateDer::pem_file_iter(file)
         .map_err(|error| unreadable(file, &error))?
@@ -162,10 +163,10 @@
         return Err(error(TlsReason::Empty));
     }
     for (index, certificate) in certificates.iter().enumerate() {
-        certificate::check(certificate, now).map_err(|weakness| {
+        certificate::check(certificate, now).map_err(|cause| {
             error(TlsReason::Certificate {
                 number: index + 1,
-                weakness,
+                cause,
             })
         })?;
     }
--- a/crates/sesamecart-edges/src/tls/certificate.rs
+++ b/crates/sesamecart-edges/src/tls/certificate.rs
@@ -1,7 +1,7 @@
-//! Checks that a certificate may be used.
+//! Checks of certificates before they are used.
 //!
-//! rustls presents whatever certificate it is given. An expired or weak one would be noticed only by
-//! callers, who then refuse to connect; checked here, operators see it in the node's log at once.
+//! rustls presents any certificate it is given, so only callers would notice an expired or weak one, by
+//! failing to connect. With these checks, operators see the problem in the node's log immediately.
 
 use derive_more::Display;
 use rustls_pki_types::{CertificateDer, UnixTime};
@@ -10,79 +10,84 @@
 use x509_parser::prelude::{FromDer as _, X509Certificate};
 use x509_parser::public_key::PublicKey;
 
-/// The shortest RSA key that is accepted, in bits.
+/// The minimum length of an RSA or DSA key.
 const MIN_RSA_BITS: usize = 2_048;
 
-/// The shortest elliptic curve key that is accepted, in bits.
-const MIN_CURVE_BITS: usize = 256;
+/// The minimum length of an elliptic curve key.
+const MIN_EC_BITS: usize = 256;
 
-/// The signature algorithm ecdsa-with-SHA1.
+/// The OID of the signature algorithm ecdsa-with-SHA1.
 const ECDSA_WITH_SHA1: Oid<'static> = oid!(1.2.840.10045.4.1);
 
-/// Why a certificate must not be used.
+/// The reason why a certificate must not be used.
 #[derive(Clone, Debug, Display, Eq, PartialEq)]
-pub enum Weakness {
-    /// It isn't an X.509 certificate.
+pub enum CertificateError {
+    /// The data is not an X.509 certificate.
     #[display("not a certificate: {_0}")]
     Malformed(String),
-    /// Its time is over.
+    /// The certificate has expired.
     #[display("expired at {_0}")]
     Expired(String),
-    /// Its time hasn't come.
+    /// The certificate is not valid yet.
     #[display("not valid before {_0}")]
     NotYetValid(String),
-    /// Its key is too short.
-    #[display("a key of {bits} bits, at least {least} are needed")]
+    /// The key is too short.
+    #[display("a key of {bits} bits, at least {min_bits} are needed")]
     ShortKey {
-        /// The key's length.
+        /// The length of the key.
         bits: usize,
-        /// The least length.
-        least: usize,
+        /// The minimum length.
+        min_bits: usize,
     },
-    /// It is signed by way of SHA-1.
+    /// The signature uses SHA-1.
     #[display("signed with SHA-1")]
     Sha1,
 }
 
-/// Checks a certificate at a point of wall-clock time.
-pub(super) fn check(certificate: &CertificateDer<'_>, now: UnixTime) -> Result<(), Weakness> {
+/// Checks the validity at `now`, the key length and the signature algorithm of a certificate.
+pub(super) fn check(
+    certificate: &CertificateDer<'_>,
+    now: UnixTime,
+) -> Result<(), CertificateError> {
     let (_, parsed) = X509Certificate::from_der(certificate)
-        .map_err(|error| Weakness::Malformed(error.to_string()))?;
+        .map_err(|error| CertificateError::Malformed(error.to_string()))?;
     check_time(&parsed, now)?;
     check_key(&parsed)?;
     if is_sha1(&parsed.signature_algorithm.algorithm) {
-        return Err(Weakness::Sha1);
+        return Err(CertificateError::Sha1);
     }
     Ok(())
 }
 
-fn check_time(certificate: &X509Certificate<'_>, now: UnixTime) -> Result<(), Weakness> {
+fn check_time(certificate: &X509Certificate<'_>, now: UnixTime) -> Result<(), CertificateError> {
     let validity = certificate.validity();
     let now = i64::try_from(now.as_secs()).unwrap_or(i64::MAX);
     if now < validity.not_before.timestamp() {
-        return Err(Weakness::NotYetValid(validity.not_before.to_string()));
+        return Err(CertificateError::NotYetValid(
+            validity.not_before.to_string(),
+        ));
     }
     if now > validity.not_after.timestamp() {
-        return Err(Weakness::Expired(validity.not_after.to_string()));
+        return Err(CertificateError::Expired(validity.not_after.to_string()));
     }
     Ok(())
 }
 
-fn check_key(certificate: &X509Certificate<'_>) -> Result<(), Weakness> {
+fn check_key(certificate: &X509Certificate<'_>) -> Result<(), CertificateError> {
     let key = certificate
         .public_key()
         .parsed()
-        .map_err(|error| Weakness::Malformed(error.to_string()))?;
-    let (bits, least) = match &key {
+        .map_err(|error| CertificateError::Malformed(error.to_string()))?;
+    let (bits, min_bits) = match &key {
         PublicKey::RSA(_) | PublicKey::DSA(_) => (key.key_size(), MIN_RSA_BITS),
-        PublicKey::EC(_) => (key.key_size(), MIN_CURVE_BITS),
-        // Ed25519 and Ed448 keys have one size; others rustls doesn't take.
+        PublicKey::EC(_) => (key.key_size(), MIN_EC_BITS),
+        // Ed25519 and Ed448 keys have a fixed size, and rustls supports no other kinds.
         PublicKey::GostR3410(_) | PublicKey::GostR3410_2012(_) | PublicKey::Unknown(_) => {
             return Ok(());
         }
     };
-    if bits < least {
-        return Err(Weakness::ShortKey { bits, least });
+    if bits < min_bits {
+        return Err(CertificateError::ShortKey { bits, min_bits });
     }
     Ok(())
 }
--- a/crates/sesamecart-edges/src/tls/server.rs
+++ b/crates/sesamecart-edges/src/tls/server.rs
@@ -1,4 +1,4 @@
-//! The server's side, whose files can be replaced while it runs.
+//! The TLS configuration of a listener, whose files can be replaced without a restart.
 
 use std::path::Path;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -11,18 +11,18 @@
 
 use super::{TlsError, server_config};
 
-/// What looking at the files again has found.
+/// The result of [`TlsServer::reload`].
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Reload {
-    /// The files are those in use.
+    /// The files have not changed.
     Unchanged,
-    /// New files are in use for connections from now on.
+    /// New connections use the new files.
     Replaced,
 }
 
-/// The server's side of one listener.
+/// The TLS configuration of one listener.
 ///
-/// Connections that are open keep the certificate that they began with.
+/// Open connections keep the certificate that was in use when they were accepted.
 #[derive(Clone, Debug)]
 pub struct TlsServer {
     inner: Arc<Inner>,
@@ -32,45 +32,48 @@
 struct Inner {
     files: TlsFiles,
     protocols: &'static [&'static [u8]],
-    current: Mutex<Current>,
+    current: Mutex<LoadedConfig>,
 }
 
 #[derive(Debug)]
-struct Current {
+struct LoadedConfig {
     config: Arc<ServerConfig>,
-    stamps: Stamps,
+    modification_times: ModificationTimes,
 }
 
-/// When each file was last changed.
-type Stamps = [Option<SystemTime>; 3];
+/// The modification times of the certificate, the key and the authorities.
+type ModificationTimes = [Option<SystemTime>; 3];
 
 impl TlsServer {
-    /// Reads the files for the first time.
+    /// Loads the files.
     ///
     /// # Errors
     ///
-    /// Returns an error that names the file and why it can't be used.
+    /// Returns an error with the file and the reason if a file can't be used.
     pub fn new(
         files: TlsFiles,
         protocols: &'static [&'static [u8]],
         now: UnixTime,
     ) -> Result<Self, TlsError> {
-        let stamps = stamps(&files);
+        let modification_times = modification_times(&files);
         let config = Arc::new(server_config(&files, protocols, now)?);
         Ok(Self {
             inner: Arc::new(Inner {
                 files,
                 protocols,
-                current: Mutex::new(Current { config, stamps }),
+                current: Mutex::new(LoadedConfig {
+                    config,
+                    modification_times,
+                }),
             }),
         })
     }
 
-    /// Reads the files that settings name for a side, or nothing where it takes plain text.
+    /// Loads the files that the settings name for a listener, or returns `None` if it uses plain text.
     ///
     /// # Errors
     ///
-    /// Returns an error that names the file and why it can't be used.
+    /// Returns an error with the file and the reason if a file can't be used.
     pub fn of(
         transport: &Transport,
         protocols: &'static [&'static [u8]],
@@ -82,33 +85,33 @@
         }
     }
 
-    /// Reads the files again if one of them has changed.
+    /// Reloads the files if the modification time of one of them has changed.
     ///
-    /// A set that can't be used leaves the old one in force: a certificate and its key are two files
-    /// and may be seen between two writes.
+    /// If the new files can't be used, the old configuration stays in use. A certificate and its key are two
+    /// files, so a reload may happen after only one of them was replaced.
     ///
     /// # Errors
     ///
-    /// Returns an error that names the file and why it can't be used.
+    /// Returns an error with the file and the reason if a file can't be used.
     pub fn reload(&self, now: UnixTime) -> Result<Reload, TlsError> {
-        let stamps = stamps(&self.inner.files);
+        let modification_times = modification_times(&self.inner.files);
         let mut current = self
             .inner
             .current
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        if current.stamps == stamps {
+        if current.modification_times == modification_times {
             return Ok(Reload::Unchanged);
         }
         let config = server_config(&self.inner.files, self.inner.protocols, now)?;
-        *current = Current {
+        *current = LoadedConfig {
             config: Arc::new(config),
-            stamps,
+            modification_times,
         };
         Ok(Reload::Replaced)
     }
 
-    /// Returns what accepts the next connection.
+    /// Returns an acceptor with the current configuration.
     #[must_use]
     pub fn acceptor(&self) -> TlsAcceptor {
         let current = self
@@ -120,15 +123,15 @@
     }
 }
 
-fn stamps(files: &TlsFiles) -> Stamps {
-    let changed = |file: &Path| {
+fn modification_times(files: &TlsFiles) -> ModificationTimes {
+    let modified = |file: &Path| {
         std::fs::metadata(file)
             .and_then(|data| data.modified())
             .ok()
     };
     [
-        changed(&files.certificate),
-        changed(&files.key),
-        files.authorities.as_deref().and_then(changed),
+        modified(&files.certificate),
+        modified(&files.key),
+        files.authorities.as_deref().and_then(modified),
     ]
 }
--- a/crates/sesamecart-edges/src/tls/tests.rs
+++ b/crates/sesamecart-edges/src/tls/tests.rs
@@ -13,13 +13,13 @@
 
 use super::{Reload, TlsServer, client_config, server_config};
 
-/// 1 March 2027, after the certificates in `testdata` begin.
+/// 1 March 2027, when the certificates in `testdata` are already valid.
 const NOW: UnixTime = UnixTime::since_unix_epoch(Duration::from_secs(1_803_859_200));
 
-/// A folder of one test, removed at its end.
-struct Folder(PathBuf);
+/// A temporary directory, removed on drop.
+struct TempDir(PathBuf);
 
-impl Folder {
+impl TempDir {
     fn new() -> Self {
         static COUNT: AtomicU32 = AtomicU32::new(0);
         let count = COUNT.fetch_add(1, Ordering::Relaxed);
@@ -36,13 +36,13 @@
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempDir {
     fn drop(&mut self) {
         std::fs::remove_dir_all(&self.0).unwrap();
     }
 }
 
-/// An authority that signs certificates for the loopback address.
+/// A certificate authority that signs certificates for the loopback address.
 struct Authority {
     pem: String,
     issuer: Issuer<'static, KeyPair>,
@@ -60,16 +60,16 @@
         Self { pem, issuer }
     }
 
-    fn sign(&self, folder: &Folder, years: [i32; 2]) -> TlsFiles {
+    fn sign(&self, dir: &TempDir, years: [i32; 2]) -> TlsFiles {
         let key = KeyPair::generate().unwrap();
         let mut params = CertificateParams::new(vec!["127.0.0.1".to_owned()]).unwrap();
         params.not_before = date_time_ymd(years[0], 1, 1);
         params.not_after = date_time_ymd(years[1], 1, 1);
         let certificate = params.signed_by(&key, &self.issuer).unwrap();
         TlsFiles {
-            certificate: folder.write("certificate.pem", certificate.pem()),
-            key: folder.write("key.pem", key.serialize_pem()),
-            authorities: Some(folder.write("authorities.pem", &self.pem)),
+            certificate: dir.write("certificate.pem", certificate.pem()),
+            key: dir.write("key.pem", key.serialize_pem()),
+            authorities: Some(dir.write("authorities.pem", &self.pem)),
             client_certificates: false,
         }
     }
@@ -81,15 +81,15 @@
         .join(name)
 }
 
-/// Each case changes a good set of files; the error must name the file and say why.
-macro_rules! refused {
+/// Each case modifies a valid set of files. The error must contain the file and the reason.
+macro_rules! rejected_files {
     ($($name:ident: $change:expr => $file:literal, $reason:literal;)*) => {$(
         #[test]
         fn $name() {
-            let folder = Folder::new();
-            let mut files = Authority::new().sign(&folder, [2026, 2030]);
-            let change: fn(&Folder, &mut TlsFiles) = $change;
-            change(&folder, &mut files);
+            let dir = TempDir::new();
+            let mut files = Authority::new().sign(&dir, [2026, 2030]);
+            let change: fn(&TempDir, &mut TlsFiles) = $change;
+            change(&dir, &mut files);
             let error = server_config(&files, &[], NOW).unwrap_err().to_string();
             assert!(error.contains($file), "{error}");
             assert!(error.contains($reason), "{error}");
@@ -97,29 +97,29 @@
     )*};
 }
 
-refused! {
-    expired: |folder, files| *files = Authority::new().sign(folder, [2020, 2026])
+rejected_files! {
+    expired: |dir, files| *files = Authority::new().sign(dir, [2020, 2026])
         => "certificate.pem", "certificate 1: expired at Jan  1";
-    not_yet_valid: |folder, files| *files = Authority::new().sign(folder, [2028, 2030])
+    not_yet_valid: |dir, files| *files = Authority::new().sign(dir, [2028, 2030])
         => "certificate.pem", "certificate 1: not valid before Jan  1";
     short_rsa_key: |_, files| files.certificate = test_data("rsa-1024.pem")
         => "rsa-1024.pem", "a key of 1024 bits, at least 2048 are needed";
     sha1_signature: |_, files| files.certificate = test_data("sha1.pem")
         => "sha1.pem", "signed with SHA-1";
-    weak_certificate_in_chain: |folder, files| {
+    weak_certificate_in_chain: |dir, files| {
         let mut chain = std::fs::read(&files.certificate).unwrap();
         chain.extend(std::fs::read(test_data("sha1.pem")).unwrap());
-        files.certificate = folder.write("chain.pem", chain);
+        files.certificate = dir.write("chain.pem", chain);
     } => "chain.pem", "certificate 2: signed with SHA-1";
-    no_such_file: |_, files| files.certificate = "missing.pem".into()
+    missing_file: |_, files| files.certificate = "missing.pem".into()
         => "missing.pem", "can't be read";
-    no_certificate: |folder, files| files.certificate = folder.write("empty.pem", "")
+    file_without_a_certificate: |dir, files| files.certificate = dir.write("empty.pem", "")
         => "empty.pem", "holds no certificate";
-    no_key: |folder, files| files.key = folder.write("empty.pem", "")
+    file_without_a_key: |dir, files| files.key = dir.write("empty.pem", "")
         => "empty.pem", "can't be read";
-    key_of_another: |folder, files| {
+    key_of_another_certificate: |dir, files| {
         let key = KeyPair::generate().unwrap().serialize_pem();
-        files.key = folder.write("other.pem", key);
+        files.key = dir.write("other.pem", key);
     } => "other.pem", "KeyMismatch";
     clients_without_authorities: |_, files| {
         files.authorities = None;
@@ -131,8 +131,8 @@
     } => "sha1.pem", "signed with SHA-1";
 }
 
-/// Connects once over loopback and returns what the client reads.
-fn talk(server: &TlsServer, client: &TlsFiles) -> std::io::Result<Vec<u8>> {
+/// Connects once over loopback and returns the bytes that the client reads.
+fn connect_and_read(server: &TlsServer, client: &TlsFiles) -> std::io::Result<Vec<u8>> {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
     let address = listener.local_addr()?;
     let listener = Async::new(listener)?;
@@ -160,66 +160,66 @@
 
 #[test]
 fn client_reads_what_server_writes() {
-    let folder = Folder::new();
-    let files = Authority::new().sign(&folder, [2026, 2100]);
+    let dir = TempDir::new();
+    let files = Authority::new().sign(&dir, [2026, 2100]);
     let server = TlsServer::new(files.clone(), &[], NOW).unwrap();
-    assert_eq!(talk(&server, &files).unwrap(), b"hello");
+    assert_eq!(connect_and_read(&server, &files).unwrap(), b"hello");
 }
 
 #[test]
-fn server_of_an_unknown_authority_is_refused() {
-    let (folder, other) = (Folder::new(), Folder::new());
-    let files = Authority::new().sign(&folder, [2026, 2100]);
+fn server_signed_by_an_unknown_authority_is_rejected() {
+    let (dir, other) = (TempDir::new(), TempDir::new());
+    let files = Authority::new().sign(&dir, [2026, 2100]);
     let client = Authority::new().sign(&other, [2026, 2100]);
     let server = TlsServer::new(files, &[], NOW).unwrap();
-    assert!(talk(&server, &client).is_err());
+    assert!(connect_and_read(&server, &client).is_err());
 }
 
-/// Links ask for certificates. Somebody else's process on the network must not be able to vote or
-/// to take permits.
+/// Links require client certificates, so that a foreign process on the network can neither vote nor take
+/// permits.
 #[test]
-fn client_of_an_unknown_authority_is_refused() {
-    let (folder, other) = (Folder::new(), Folder::new());
+fn client_signed_by_an_unknown_authority_is_rejected() {
+    let (dir, other) = (TempDir::new(), TempDir::new());
     let authority = Authority::new();
-    let mut files = authority.sign(&folder, [2026, 2100]);
+    let mut files = authority.sign(&dir, [2026, 2100]);
     files.client_certificates = true;
     let server = TlsServer::new(files.clone(), &[], NOW).unwrap();
-    assert_eq!(talk(&server, &files).unwrap(), b"hello");
-    let mut stranger = Authority::new().sign(&other, [2026, 2100]);
-    stranger.authorities = files.authorities;
-    assert!(talk(&server, &stranger).is_err());
+    assert_eq!(connect_and_read(&server, &files).unwrap(), b"hello");
+    let mut untrusted = Authority::new().sign(&other, [2026, 2100]);
+    untrusted.authorities = files.authorities;
+    assert!(connect_and_read(&server, &untrusted).is_err());
 }
 
-/// Operators replace a certificate that is about to expire. Its key comes a moment later, and in
-/// between the old pair must stay in use, or callers could not connect.
+/// An operator replaces a certificate that is about to expire, and its key a moment later. Until both are
+/// replaced, the old pair must stay in use, or callers could not connect.
 #[test]
-fn new_files_are_used_without_restart() {
-    let (folder, other) = (Folder::new(), Folder::new());
+fn replaced_files_are_used_without_a_restart() {
+    let (dir, other) = (TempDir::new(), TempDir::new());
     let old = Authority::new();
-    let files = old.sign(&folder, [2026, 2100]);
+    let files = old.sign(&dir, [2026, 2100]);
     let server = TlsServer::new(files.clone(), &[], NOW).unwrap();
     assert_eq!(server.reload(NOW).unwrap(), Reload::Unchanged);
 
     let old_key = std::fs::read(&files.key).unwrap();
     let new = Authority::new();
     let client = new.sign(&other, [2026, 2100]);
-    let files = new.sign(&folder, [2026, 2100]);
+    let files = new.sign(&dir, [2026, 2100]);
     let new_key = std::fs::read(&files.key).unwrap();
     std::fs::write(&files.key, old_key).unwrap();
     touch(&files, 1);
     server.reload(NOW).unwrap_err();
     assert!(
-        talk(&server, &client).is_err(),
+        connect_and_read(&server, &client).is_err(),
         "the old certificate is still in use"
     );
 
     std::fs::write(&files.key, new_key).unwrap();
     touch(&files, 2);
     assert_eq!(server.reload(NOW).unwrap(), Reload::Replaced);
-    assert_eq!(talk(&server, &client).unwrap(), b"hello");
+    assert_eq!(connect_and_read(&server, &client).unwrap(), b"hello");
 }
 
-/// Gives the files a time of change of their own, whatever the file system's resolution.
+/// Sets a distinct modification time, so that the test doesn't depend on the file system's resolution.
 fn touch(files: &TlsFiles, seconds: u64) {
     let time = SystemTime::UNIX_EPOCH + Duration::from_secs(seconds);
     for file in [&files.certificate, &files.key] {
--- a/crates/sesamecart-edges/src/vm_list.rs
+++ b/crates/sesamecart-edges/src/vm_list.rs
@@ -1,4 +1,4 @@
-//! The platform's list of VMs, which lags behind what is true.
+//! The client of the platform's VM list, which lags behind the actual state.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,45 +11,45 @@
 use crate::body::BoxError;
 use crate::client::HttpClient;
 
-/// The largest list that is read, in bytes.
-const MAX_LIST: ByteSize = ByteSize(16 * 1024 * 1024);
+/// The maximum size of the list.
+const MAX_LIST_BYTES: ByteSize = ByteSize(16 * 1024 * 1024);
 
-/// What a VM is for.
+/// The role of a VM.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VmRole {
-    /// It runs a node.
+    /// The VM runs a node.
     Entry,
-    /// It runs a part of an endpoint.
+    /// The VM runs a part of an endpoint.
     Backend,
 }
 
-/// What the platform last knew of a VM.
+/// The last known state of a VM.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VmState {
-    /// It runs.
+    /// The VM is running.
     Live,
-    /// It will be taken away.
+    /// The platform will remove the VM.
     Leaving,
 }
 
-/// One line of the list.
+/// An entry of the list.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct ListedVm {
-    /// The VM.
+    /// The VM's id.
     pub vm: VmId,
-    /// Where it takes links, for an entry VM.
+    /// For an entry VM, the address where it accepts links.
     pub address: SocketAddr,
-    /// Its failure domain.
+    /// The VM's failure domain.
     pub failure_domain: FailureDomainId,
-    /// What it is for.
+    /// The VM's role.
     pub role: VmRole,
-    /// What the platform last knew of it.
+    /// The VM's last known state.
     pub state: VmState,
 }
 
-/// The list couldn't be read.
+/// The error of reading the VM list.
 #[derive(Debug, Display, Error)]
 #[display("VM list at {peer}: {reason}")]
 pub struct VmListError {
@@ -58,20 +58,20 @@
     reason: BoxError,
 }
 
-/// The platform's VM list, as the node sees it.
+/// A client of the platform's VM list.
 ///
-/// It lags, so it is used to find peers and never to decide that one is gone at once.
+/// Since the list lags, it is used to discover peers, but never to conclude immediately that a peer is gone.
 pub trait VmList: Send + Sync + std::fmt::Debug {
-    /// Reads the list.
+    /// Reads the current list.
     fn read(&self) -> Boxed<Result<Vec<ListedVm>, VmListError>>;
 }
 
-/// The VM list over HTTP.
+/// The HTTP client of the VM list.
 #[derive(Clone, Debug)]
 pub struct HttpVmList {
     client: HttpClient,
     peer: SocketAddr,
-    limit: Duration,
+    timeout: Duration,
 }
 
 #[derive(Deserialize)]
@@ -80,13 +80,13 @@
 }
 
 impl HttpVmList {
-    /// Makes an adapter for the list at `peer`; each call takes at most `limit`.
+    /// Creates a client of the list at `peer`; each call times out after `timeout`.
     #[must_use]
-    pub fn new(client: HttpClient, peer: SocketAddr, limit: Duration) -> Self {
+    pub fn new(client: HttpClient, peer: SocketAddr, timeout: Duration) -> Self {
         Self {
             client,
             peer,
-            limit,
+            timeout,
         }
     }
 
@@ -95,7 +95,7 @@
         let error = |reason: BoxError| VmListError { peer, reason };
         let response = self
             .client
-            .get(peer, "/vms", MAX_LIST, self.limit)
+            .get(peer, "/vms", MAX_LIST_BYTES, self.timeout)
             .await
             .map_err(error)?;
         let status = response.status();
--- a/crates/sesamecart-edges/src/weight_store.rs
+++ b/crates/sesamecart-edges/src/weight_store.rs
@@ -1,4 +1,4 @@
-//! The platform's rate-limited store of model weights.
+//! The client of the platform's rate-limited store of model weights.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,43 +12,43 @@
 use crate::body::BoxError;
 use crate::client::HttpClient;
 
-/// The largest answer that is read, in bytes.
-const MAX_ANSWER: ByteSize = ByteSize(64 * 1024);
+/// The maximum size of a response.
+const MAX_RESPONSE_BYTES: ByteSize = ByteSize(64 * 1024);
 
-/// A load that the store has taken on.
+/// A transfer of weights that the store has accepted.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct WeightTransfer {
     /// The size of the weights.
     pub bytes: ByteSize,
-    /// Milliseconds until it will be done at the store's present rate.
+    /// The estimated milliseconds until the transfer is done at the store's current rate.
     pub done_after_ms: u64,
 }
 
-/// Why the store didn't take on a load.
+/// The reason why the store did not accept a transfer.
 #[derive(Debug, Display, Error)]
 pub enum WeightStoreError {
-    /// The store has no rate left.
-    #[display("weight store at {peer}: out of rate, again after {} ms", again_after.as_millis())]
+    /// The store's rate limit is exhausted.
+    #[display("weight store at {peer}: out of rate, again after {} ms", retry_after.as_millis())]
     OutOfRate {
-        /// The store.
+        /// The address of the store.
         peer: SocketAddr,
-        /// When to ask again.
-        again_after: Duration,
+        /// How long to wait before the next request.
+        retry_after: Duration,
     },
-    /// The store couldn't be asked.
+    /// The request failed.
     #[display("weight store at {peer}: {reason}")]
     Failed {
-        /// The store.
+        /// The address of the store.
         peer: SocketAddr,
-        /// What failed.
+        /// The cause.
         #[error(not(source))]
         reason: BoxError,
     },
 }
 
-/// The platform's weight store, as the node sees it.
+/// A client of the platform's weight store.
 pub trait WeightStore: Send + Sync + std::fmt::Debug {
-    /// Starts or goes on with a load of one version of a model.
+    /// Starts or continues the transfer of one version of a model.
     fn load(
         &self,
         model: ModelId,
@@ -56,22 +56,22 @@
     ) -> Boxed<Result<WeightTransfer, WeightStoreError>>;
 }
 
-/// The weight store over HTTP.
+/// The HTTP client of the weight store.
 #[derive(Clone, Debug)]
 pub struct HttpWeightStore {
     client: HttpClient,
     peer: SocketAddr,
-    limit: Duration,
+    timeout: Duration,
 }
 
 impl HttpWeightStore {
-    /// Makes an adapter for the store at `peer`; each call takes at most `limit`.
+    /// Creates a client of the store at `peer`; each call times out after `timeout`.
     #[must_use]
-    pub fn new(client: HttpClient, peer: SocketAddr, limit: Duration) -> Self {
+    pub fn new(client: HttpClient, peer: SocketAddr, timeout: Duration) -> Self {
         Self {
             client,
             peer,
-            limit,
+            timeout,
         }
     }
 
@@ -85,13 +85,13 @@
         let path = format!("/weights/{model}/{version}");
         let response = self
             .client
-            .get(peer, &path, MAX_ANSWER, self.limit)
+            .get(peer, &path, MAX_RESPONSE_BYTES, self.timeout)
             .await
             .map_err(failed)?;
         let (head, body) = response.into_parts();
         if head.status == StatusCode::TOO_MANY_REQUESTS {
-            let again_after = retry_after(&head.headers);
-            return Err(WeightStoreError::OutOfRate { peer, again_after });
+            let retry_after = parse_retry_after(&head.headers);
+            return Err(WeightStoreError::OutOfRate { peer, retry_after });
         }
         if !head.status.is_success() {
             return Err(failed(format!("answered {}", head.status).into()));
@@ -110,8 +110,8 @@
     }
 }
 
-/// Reads `Retry-After` in seconds; a missing or odd one counts as one second.
-fn retry_after(headers: &http::HeaderMap) -> Duration {
+/// Returns the `Retry-After` header in seconds, or one second if it is missing or invalid.
+fn parse_retry_after(headers: &http::HeaderMap) -> Duration {
     let seconds = headers
         .get(http::header::RETRY_AFTER)
         .and_then(|value| value.to_str().ok())
