--- a/crates/sesamecart-fold/examples/sizes.rs
+++ b/crates/sesamecart-fold/examples/sizes.rs
@@ -1,6 +1,7 @@
-//! Prints how large records and checkpoints are at the target's size, and how long they take.
+//! Measures the size and processing time of records and checkpoints for a deployment of the target size.
 //!
-//! `cargo run --release -p sesamecart-fold --example sizes`; docs/design/fold.md quotes a run.
+//! Run it with `cargo run --release -p sesamecart-fold --example sizes`. docs/design/fold.md quotes its
+//! output.
 
 use std::time::{Duration, Instant};
 
@@ -9,15 +10,15 @@
 use sesamecart_fold::{ActionEnd, ActionIntent, ActionOutcome, EncodedBody, Fold, Record};
 use sesamecart_vocabulary::{BodyDigest, Epoch, Incarnation, NodeId, Offset, Revision, ShardId};
 
-/// The target's engines, each a group of two VMs.
+/// The number of engines at the target size, each a group of two VMs.
 const GROUPS: usize = 660;
 const DOMAINS: usize = 5;
 const SHARDS: u16 = 256;
 const VOTERS: usize = 5;
-/// The bytes of one answer that is kept for its key.
-const ANSWER_BYTES: usize = 300;
-/// The keyed actions that one append carries.
-const BATCH: usize = 50;
+/// The size of a stored response.
+const RESPONSE_BYTES: usize = 300;
+/// The number of keyed actions in one append.
+const ACTIONS_PER_APPEND: usize = 50;
 
 fn main() {
     let configuration = configuration();
@@ -33,45 +34,45 @@
     for shard in 0..SHARDS {
         log.apply(&claim(shard));
     }
-    let mut rows = vec![Row::of(&log, 0)];
+    let mut rows = vec![CheckpointRow::measure(&log, 0)];
     for actions in [10_000, 72_000] {
-        log.act(actions);
-        rows.push(Row::of(&log, actions));
+        log.run_actions(actions);
+        rows.push(CheckpointRow::measure(&log, actions));
     }
     println!(
         "configuration of {GROUPS} groups: {} bytes, applied in {:.2} ms",
         publish.bytes,
-        millis(publish.taken)
+        to_millis(publish.elapsed)
     );
     for row in &rows {
         println!(
             "checkpoint with {} keyed actions: {} bytes, written in {:.1} ms, read in {:.1} ms",
             row.actions,
             row.bytes,
-            millis(row.encode),
-            millis(row.decode)
+            to_millis(row.encode),
+            to_millis(row.decode)
         );
     }
     let batch = log.batch;
     println!(
-        "{BATCH} intents in one record: {} bytes, applied in {:.3} ms",
+        "{ACTIONS_PER_APPEND} intents in one record: {} bytes, applied in {:.3} ms",
         batch.bytes,
-        millis(batch.taken)
+        to_millis(batch.elapsed)
     );
-    let rows: Vec<_> = rows.iter().map(Row::json).collect();
-    let publish = json!({"bytes": publish.bytes, "apply_ms": millis(publish.taken)});
-    let batch = json!({"bytes": batch.bytes, "apply_ms": millis(batch.taken)});
+    let rows: Vec<_> = rows.iter().map(CheckpointRow::to_json).collect();
+    let publish = json!({"bytes": publish.bytes, "apply_ms": to_millis(publish.elapsed)});
+    let batch = json!({"bytes": batch.bytes, "apply_ms": to_millis(batch.elapsed)});
     println!(
         "{}",
         json!({"publish": publish, "intents": batch, "checkpoints": rows})
     );
 }
 
-/// A record that was applied.
+/// The size of an applied record and the time it took.
 #[derive(Clone, Copy, Default)]
 struct AppliedRecord {
     bytes: usize,
-    taken: Duration,
+    elapsed: Duration,
 }
 
 #[derive(Default)]
@@ -85,20 +86,20 @@
     fn apply(&mut self, record: &Record) -> AppliedRecord {
         let data = record.encode();
         let offset = self.fold.state().next_offset;
-        let begun = Instant::now();
+        let start = Instant::now();
         self.fold.apply(offset, 0, &data);
         AppliedRecord {
             bytes: data.len(),
-            taken: begun.elapsed(),
+            elapsed: start.elapsed(),
         }
     }
 
-    /// Lets actions begin and end until there are `count`.
-    fn act(&mut self, count: usize) {
+    /// Applies intents and outcomes until the state has `count` actions.
+    fn run_actions(&mut self, count: usize) {
         let shard = ShardId(0);
         let epoch = self.fold.state().epoch(shard).unwrap_or(Epoch(0));
         while self.actions < count {
-            let keys = self.actions..self.actions + BATCH;
+            let keys = self.actions..self.actions + ACTIONS_PER_APPEND;
             let intents = Record::ActionIntents {
                 shard,
                 epoch,
@@ -110,27 +111,27 @@
                 epoch,
                 entries: keys.map(outcome).collect(),
             });
-            self.actions += BATCH;
+            self.actions += ACTIONS_PER_APPEND;
         }
     }
 }
 
-/// A checkpoint's size and times.
-struct Row {
+/// The size of a checkpoint and its encoding and decoding times.
+struct CheckpointRow {
     actions: usize,
     bytes: usize,
     encode: Duration,
     decode: Duration,
 }
 
-impl Row {
-    fn of(log: &Log, actions: usize) -> Self {
-        let begun = Instant::now();
+impl CheckpointRow {
+    fn measure(log: &Log, actions: usize) -> Self {
+        let start = Instant::now();
         let data = log.fold.checkpoint().encode();
-        let encode = begun.elapsed();
-        let begun = Instant::now();
+        let encode = start.elapsed();
+        let start = Instant::now();
         let read = Record::decode(&data).expect("a whole record");
-        let decode = begun.elapsed();
+        let decode = start.elapsed();
         assert!(matches!(read.record, Record::Checkpoint { .. }));
         Self {
             actions,
@@ -140,10 +141,10 @@
         }
     }
 
-    fn json(&self) -> serde_json::Value {
+    fn to_json(&self) -> serde_json::Value {
         json!({
             "actions": self.actions, "bytes": self.bytes,
-            "encode_ms": millis(self.encode), "decode_ms": millis(self.decode),
+            "encode_ms": to_millis(self.encode), "decode_ms": to_millis(self.decode),
         })
     }
 }
@@ -223,11 +224,11 @@
         outcome: ActionEnd::Answered {
             status: 201,
             headers: Vec::new(),
-            body: EncodedBody(vec![b'x'; ANSWER_BYTES]),
+            body: EncodedBody(vec![b'x'; RESPONSE_BYTES]),
         },
     }
 }
 
-fn millis(time: Duration) -> f64 {
+fn to_millis(time: Duration) -> f64 {
     time.as_secs_f64() * 1_000.0
 }
--- a/crates/sesamecart-fold/src/action.rs
+++ b/crates/sesamecart-fold/src/action.rs
@@ -1,4 +1,4 @@
-//! Keyed actions: what was begun, and how it ended.
+//! Keyed actions: requests with an idempotency key, their attempts and their outcomes.
 
 use std::collections::VecDeque;
 
@@ -11,119 +11,119 @@
 
 use crate::body::EncodedBody;
 
-/// How long a keyed action is remembered, in milliseconds of the log's clock.
+/// How long a keyed action is retained, in milliseconds of the log's clock.
 ///
-/// Every action within it is part of each checkpoint, so a longer horizon makes checkpoints larger;
-/// a shorter one would refuse callers that come back after a long outage. A key older than this is
-/// refused and never run again.
+/// Every retained action is part of each checkpoint, so a longer horizon makes checkpoints larger. With a
+/// shorter one, callers that retry after a long outage would be refused. An older key is refused and never
+/// run again.
 pub const ACTION_HORIZON_MS: u64 = 60 * 60 * 1_000;
 
-/// What makes a keyed action unique.
+/// The unique key of an action.
 #[derive(Clone, Debug, Display, Eq, Hash, PartialEq, Serialize, Deserialize)]
 #[display("{customer}/{service}/{key}")]
 pub struct ActionKey {
-    /// The customer whose key it is.
+    /// The customer that chose the key.
     pub customer: CustomerId,
-    /// The service that it is sent to.
+    /// The service that the action is sent to.
     pub service: ServiceId,
-    /// The customer's own key.
+    /// The customer's idempotency key.
     pub key: IdempotencyKey,
 }
 
-/// An action that is about to be sent.
+/// The intent to send an action, appended to the log before the action is sent.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct ActionIntent {
-    /// The customer whose key it is.
+    /// The customer that chose the key.
     pub customer: CustomerId,
-    /// The service that it is sent to.
+    /// The service that the action is sent to.
     pub service: ServiceId,
-    /// The customer's own key.
+    /// The customer's idempotency key.
     pub key: IdempotencyKey,
-    /// The hash of the body, which tells a repeated request from a different one.
+    /// The hash of the body, which distinguishes a repeated request from a different one with the same key.
     pub body_digest: BodyDigest,
-    /// The one try that this intent allows.
+    /// The only attempt that this intent permits.
     pub attempt: AttemptId,
-    /// When it was let in, in milliseconds of wall-clock time.
+    /// When the action was admitted, in milliseconds of wall-clock time.
     pub at_ms: u64,
 }
 
-/// What one append tells of one shard's keyed actions.
+/// The outcomes and intents of one shard within an append.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct ActionPart {
     /// The shard that owns the keys.
     pub shard: ShardId,
     /// The epoch of the shard's lease.
     pub epoch: Epoch,
-    /// Actions that ended; they count before the intents.
+    /// Outcomes of actions, which are applied before the intents.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub outcomes: Vec<ActionOutcome>,
-    /// Actions that are about to be sent.
+    /// Intents of actions that are about to be sent.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub intents: Vec<ActionIntent>,
 }
 
-/// How an action ended.
+/// The outcome of one attempt of an action.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct ActionOutcome {
-    /// The customer whose key it is.
+    /// The customer that chose the key.
     pub customer: CustomerId,
-    /// The service that it was sent to.
+    /// The service that the action was sent to.
     pub service: ServiceId,
-    /// The customer's own key.
+    /// The customer's idempotency key.
     pub key: IdempotencyKey,
-    /// The try that ended.
+    /// The attempt that ended.
     pub attempt: AttemptId,
-    /// How.
+    /// How the attempt ended.
     pub outcome: ActionEnd,
 }
 
-/// The three ways in which an action can end.
+/// The ways in which an attempt can end.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ActionEnd {
-    /// The endpoint answered.
+    /// The endpoint sent a response.
     Answered {
-        /// The answer's status.
+        /// The status of the response.
         status: u16,
-        /// The answer's headers.
+        /// The headers of the response.
         headers: Vec<Header>,
-        /// The answer's body.
+        /// The body of the response.
         body: EncodedBody,
     },
-    /// Provably nothing was run; the key may be used again.
+    /// The action provably did not run, so the key may be used again.
     NotRun,
-    /// Nobody can tell whether it ran.
+    /// It is unknown whether the action ran.
     Unknown,
 }
 
-/// A header of an answer.
+/// A header of a response.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Header {
-    /// Its name.
+    /// The header's name.
     pub name: String,
-    /// Its value.
+    /// The header's value.
     pub value: EncodedBody,
 }
 
-/// What the log tells of one keyed action.
+/// The state of one keyed action according to the log.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct ActionEntry {
-    /// The hash of the body that the key came with first.
+    /// The hash of the first request body that was sent with this key.
     pub body_digest: BodyDigest,
-    /// The try that was allowed.
+    /// The attempt that was permitted.
     pub attempt: AttemptId,
-    /// The epoch under which it was allowed.
+    /// The lease epoch under which the attempt was permitted.
     pub epoch: Epoch,
-    /// When it was let in, in milliseconds of wall-clock time.
+    /// When the action was admitted, in milliseconds of wall-clock time.
     pub at_ms: u64,
-    /// When the log took the intent, in milliseconds of the log's clock.
+    /// When the intent was appended, in milliseconds of the log's clock.
     pub logged_at_ms: u64,
-    /// How it ended, once that is known.
+    /// How the attempt ended, once known.
     pub end: Option<ActionEnd>,
 }
 
 impl ActionIntent {
-    /// Returns what makes this action unique.
+    /// Returns the unique key of this action.
     #[must_use]
     pub fn action_key(&self) -> ActionKey {
         ActionKey {
@@ -135,7 +135,7 @@
 }
 
 impl ActionOutcome {
-    /// Returns what makes this action unique.
+    /// Returns the unique key of this action.
     #[must_use]
     pub fn action_key(&self) -> ActionKey {
         ActionKey {
@@ -146,7 +146,7 @@
     }
 }
 
-/// The keyed actions of the last hour.
+/// The keyed actions within [`ACTION_HORIZON_MS`].
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Actions {
     #[serde(with = "entries")]
@@ -154,7 +154,7 @@
     oldest_first: VecDeque<Expiry>,
 }
 
-/// When one try of an action is forgotten.
+/// The data needed to expire one attempt of an action.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 struct Expiry {
     logged_at_ms: u64,
@@ -163,33 +163,33 @@
 }
 
 impl Actions {
-    /// Returns what is known of an action.
+    /// Returns the entry of an action.
     #[must_use]
     pub fn get(&self, key: &ActionKey) -> Option<&ActionEntry> {
         self.by_key.get(key)
     }
 
-    /// Returns every action that is remembered.
+    /// Returns all retained actions.
     pub fn iter(&self) -> impl Iterator<Item = (&ActionKey, &ActionEntry)> {
         self.by_key.iter()
     }
 
-    /// Returns how many actions are remembered.
+    /// Returns the number of retained actions.
     #[must_use]
     pub fn len(&self) -> usize {
         self.by_key.len()
     }
 
-    /// Returns whether no action is remembered.
+    /// Returns whether no action is retained.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.by_key.is_empty()
     }
 
-    /// Notes an intent and returns whether it is the one that may be sent.
+    /// Records an intent and returns whether its attempt may be sent.
     ///
-    /// Two owners in turn may both have appended an intent for one key. The first in the log wins;
-    /// without that, a booking would run twice. Only a try that provably wasn't run makes room.
+    /// Two successive owners may both append an intent for the same key. The first one in the log wins, as
+    /// otherwise a booking could run twice. It is replaced only if its attempt provably did not run.
     pub(crate) fn begin(&mut self, intent: &ActionIntent, epoch: Epoch, logged_at_ms: u64) -> bool {
         let key = intent.action_key();
         if let Some(entry) = self.by_key.get(&key)
@@ -214,10 +214,10 @@
         true
     }
 
-    /// Notes how a try ended and returns whether that was news.
+    /// Records the outcome of an attempt and returns whether it changed the entry.
     ///
-    /// It counts whatever the epoch: an answer is true also when its node has lost the lease
-    /// meanwhile. A known end is only replaced if it was unknown.
+    /// The epoch isn't checked, since an outcome remains valid if the node has lost its lease in the
+    /// meantime. A recorded outcome is replaced only if it is [`ActionEnd::Unknown`].
     pub(crate) fn finish(&mut self, outcome: &ActionOutcome) -> bool {
         let Some(entry) = self.by_key.get_mut(&outcome.action_key()) else {
             return false;
@@ -232,12 +232,15 @@
         true
     }
 
-    /// Forgets what is older than the horizon.
+    /// Removes the actions that are older than the horizon.
     pub(crate) fn expire(&mut self, now_ms: u64) {
         while let Some(oldest) = self.oldest_first.front()
             && oldest.logged_at_ms.saturating_add(ACTION_HORIZON_MS) < now_ms
         {
-            let oldest = self.oldest_first.pop_front().expect("the front was seen");
+            let oldest = self
+                .oldest_first
+                .pop_front()
+                .expect("the queue is not empty");
             let replaced = self
                 .by_key
                 .get(&oldest.key)
@@ -249,7 +252,7 @@
     }
 }
 
-/// Writes the map as a list, since JSON's keys are text.
+/// Serializes the map as a list of entries, since JSON supports only strings as keys.
 mod entries {
     use indexmap::IndexMap;
     use serde::{Deserialize, Deserializer, Serialize, Serializer};
--- a/crates/sesamecart-fold/src/audit.rs
+++ b/crates/sesamecart-fold/src/audit.rs
@@ -1,4 +1,4 @@
-//! Who changed what, when, from where, and what became of it.
+//! The audit trail: who changed what, when and from where, and with which result.
 
 use std::collections::VecDeque;
 
@@ -6,63 +6,63 @@
 use serde::{Deserialize, Serialize};
 use sesamecart_vocabulary::Offset;
 
-/// The number of operators' changes that a state keeps.
-const KEPT_CHANGES: usize = 512;
-/// The number of the system's own moves that a state keeps.
-const KEPT_MOVES: usize = 1_024;
+/// The maximum number of operator changes in the trail.
+const MAX_OPERATOR_CHANGES: usize = 512;
+/// The maximum number of automatic changes in the trail.
+const MAX_AUTOMATIC_CHANGES: usize = 1_024;
 
-/// One line of the audit trail.
+/// An entry of the audit trail.
 ///
-/// It is made from the log alone, so it is the same on every node.
+/// It is derived only from the log, so it is identical on every node.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct AuditEntry {
-    /// Where the record stands in the log.
+    /// The offset of the record in the log.
     pub offset: Offset,
-    /// When the log took it, in milliseconds of the log's clock.
+    /// When the record was appended, in milliseconds of the log's clock.
     pub logged_at_ms: u64,
-    /// What kind of change it is.
+    /// The kind of change.
     pub kind: AuditKind,
-    /// The operator or node that made it.
+    /// The operator or node that made the change.
     pub author: String,
-    /// The address that it came from, if an operator made it.
+    /// The operator's address; empty if a node made the change.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub from: String,
-    /// What it is about.
+    /// The object that was changed.
     pub subject: String,
-    /// What stood before.
+    /// The previous value.
     pub old: String,
-    /// What was asked for.
+    /// The requested value.
     pub new: String,
-    /// What became of it.
+    /// The result, with the reason for a rejection.
     pub verdict: String,
 }
 
-/// The kinds of audited changes.
+/// The kind of an audited change.
 #[derive(Clone, Copy, Debug, Display, Eq, Hash, PartialEq, Serialize, Deserialize)]
 #[display(rename_all = "kebab-case")]
 #[serde(rename_all = "kebab-case")]
 pub enum AuditKind {
-    /// A configuration.
+    /// The publication of a configuration.
     Publish,
-    /// A drain or its end.
+    /// The start or end of a drain.
     Drain,
-    /// A lease claimed or released.
+    /// The claim or release of a lease.
     Lease,
-    /// A VM that joined or left a group.
+    /// A VM that was added to or removed from a group.
     Assignment,
-    /// A fenced order.
+    /// A fenced order to an endpoint.
     Order,
-    /// Keyed actions that were refused.
+    /// Rejected intents of keyed actions.
     Action,
-    /// A checkpoint that was refused.
+    /// A rejected checkpoint.
     Checkpoint,
-    /// A record that couldn't be read.
+    /// A record that could not be decoded.
     Unreadable,
 }
 
 impl AuditKind {
-    /// Returns whether operators made the change, or must hear of it.
-    const fn is_change(self) -> bool {
+    /// Returns whether an operator made the change or must notice it.
+    const fn concerns_operators(self) -> bool {
         matches!(
             self,
             Self::Publish | Self::Drain | Self::Unreadable | Self::Checkpoint
@@ -70,10 +70,10 @@
     }
 }
 
-/// The newest lines of the audit trail.
+/// The newest entries of the audit trail.
 ///
-/// Operators' changes and the system's own moves are kept apart: a rolling restart moves hundreds of
-/// leases, which would otherwise push out the change that an operator looks for.
+/// Operator changes and automatic changes have separate limits. A rolling restart moves hundreds of leases,
+/// which would otherwise evict the change that an operator looks for.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct AuditTail {
     changes: VecDeque<AuditEntry>,
@@ -81,7 +81,7 @@
 }
 
 impl AuditTail {
-    /// Returns the lines that are kept, the oldest first.
+    /// Returns the retained entries, the oldest first.
     #[must_use]
     pub fn entries(&self) -> Vec<&AuditEntry> {
         let mut entries: Vec<_> = self.changes.iter().chain(&self.moves).collect();
@@ -90,13 +90,13 @@
     }
 
     pub(crate) fn push(&mut self, entry: AuditEntry) {
-        let (tail, kept) = if entry.kind.is_change() {
-            (&mut self.changes, KEPT_CHANGES)
+        let (tail, max_entries) = if entry.kind.concerns_operators() {
+            (&mut self.changes, MAX_OPERATOR_CHANGES)
         } else {
-            (&mut self.moves, KEPT_MOVES)
+            (&mut self.moves, MAX_AUTOMATIC_CHANGES)
         };
         tail.push_back(entry);
-        while tail.len() > kept {
+        while tail.len() > max_entries {
             tail.pop_front();
         }
     }
--- a/crates/sesamecart-fold/src/body.rs
+++ b/crates/sesamecart-fold/src/body.rs
@@ -1,11 +1,11 @@
-//! Bytes that travel in a JSON record.
+//! Binary data in JSON records.
 
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD;
 use derive_more::{AsRef, From, Into};
 use serde::{Deserialize, Serialize};
 
-/// The body of an answer, written in base64 since JSON holds only text.
+/// Bytes of a response, encoded in base64 since JSON strings can't hold arbitrary bytes.
 #[derive(AsRef, Clone, Debug, Default, Eq, From, Hash, Into, PartialEq, Serialize, Deserialize)]
 #[as_ref([u8])]
 #[serde(try_from = "String", into = "String")]
--- a/crates/sesamecart-fold/src/checkpoint.rs
+++ b/crates/sesamecart-fold/src/checkpoint.rs
@@ -1,4 +1,4 @@
-//! Checkpoints: the whole state, kept in the log beyond the retention of the records behind it.
+//! Checkpoints: snapshots of the state in the log, which replace records beyond the log's retention.
 
 use serde::{Deserialize, Serialize};
 use sesamecart_vocabulary::{Offset, Revision};
@@ -8,21 +8,21 @@
 use crate::record::Record;
 use crate::state::State;
 
-/// The newest checkpoint in the log, from which its holder sees when the next is due.
+/// The position of the newest checkpoint in the log, used to schedule the next one.
 #[derive(Clone, Copy, Debug, Eq, PartialEq, Serialize, Deserialize)]
-pub struct CheckpointMark {
-    /// Where the checkpoint stands in the log.
+pub struct CheckpointPosition {
+    /// The offset of the checkpoint in the log.
     pub offset: Offset,
-    /// The offset that it goes up to.
+    /// The next offset of the state in the checkpoint; it includes every record before it.
     pub covers: Offset,
-    /// When the log took it, in milliseconds of the log's clock.
+    /// When the checkpoint was appended, in milliseconds of the log's clock.
     pub logged_at_ms: u64,
 }
 
-/// Why a checkpoint can't replace a state.
+/// The reason why a checkpoint can't replace a state.
 #[derive(Clone, Copy, Debug, Eq, Error, PartialEq)]
 pub enum CheckpointError {
-    /// It holds an older configuration; taking it would revert a change in force.
+    /// The checkpoint has an older configuration, so adopting it would revert a change in force.
     #[error("the checkpoint holds revision {found}, below revision {own} in force here")]
     OlderRevision {
         /// The checkpoint's revision.
@@ -30,10 +30,10 @@
         /// The revision in force.
         own: Revision,
     },
-    /// It knows fewer keyed actions.
+    /// The checkpoint ends at the same offset but lacks keyed actions.
     #[error("the checkpoint goes no further and knows fewer keyed actions")]
     FewerActions,
-    /// It ends before the state does.
+    /// The checkpoint ends before the state.
     #[error("the checkpoint goes up to offset {found}, but this node has read up to {own}")]
     OlderOffset {
         /// The checkpoint's next offset.
@@ -44,11 +44,11 @@
 }
 
 impl Fold {
-    /// Returns the state as a record for the log, without the keyed actions.
+    /// Returns a checkpoint record for the log, without the keyed actions.
     ///
-    /// An hour of keyed actions can take tens of megabytes. Writing them again with each checkpoint
-    /// would spend every node's share of the network on reading them. They stay in the records that
-    /// told of them, which the log must keep for longer than the hour.
+    /// An hour of keyed actions can take tens of megabytes. If each checkpoint repeated them, reading
+    /// checkpoints would use up every node's share of the network. They remain in the original records,
+    /// which the log must retain for more than an hour.
     #[must_use]
     pub fn checkpoint(&self) -> Record {
         Record::Checkpoint {
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Returns the whole state as a record for a peer.
+    /// Returns a checkpoint record for a peer, with the whole state including the keyed actions.
     #[must_use]
     pub fn hand_over(&self) -> Record {
         Record::Checkpoint {
@@ -64,19 +64,19 @@
         }
     }
 
-    /// Starts from a checkpoint.
+    /// Creates a fold from a checkpoint's state.
     #[must_use]
     pub fn from_checkpoint(state: State) -> Self {
         Self::with_state(state)
     }
 
-    /// Replaces the state by a checkpoint that knows at least as much.
+    /// Replaces the state with that of a checkpoint, unless the checkpoint is older.
     ///
     /// # Errors
     ///
-    /// Returns an error, and keeps the state, if the checkpoint is older. After an outage longer
-    /// than the log's retention an old checkpoint may be all that a node finds; taking it would put
-    /// yesterday's configuration back in force, and callers would reach endpoints that are gone.
+    /// Returns an error, and keeps the state, if the checkpoint is older. After an outage longer than the
+    /// log's retention, a node may find only an old checkpoint. Adopting it would restore yesterday's
+    /// configuration, and requests would be routed to endpoints that no longer exist.
     pub fn adopt(&mut self, state: State) -> Result<(), CheckpointError> {
         let own = self.state();
         if state.revision < own.revision {
@@ -94,8 +94,8 @@
         if state.next_offset == own.next_offset && own.knows_actions() && !state.knows_actions() {
             return Err(CheckpointError::FewerActions);
         }
-        let own = std::mem::take(self).into_state();
-        *self = Self::with_state(state.with_actions_of(own));
+        let previous = std::mem::take(self).into_state();
+        *self = Self::with_state(state.with_actions_of(previous));
         Ok(())
     }
 }
--- a/crates/sesamecart-fold/src/drain.rs
+++ b/crates/sesamecart-fold/src/drain.rs
@@ -1,4 +1,4 @@
-//! What operators take out of service.
+//! Drains, with which operators take endpoints out of service.
 
 use std::str::FromStr;
 
@@ -9,7 +9,7 @@
 };
 use thiserror::Error;
 
-/// What a drain takes out of service.
+/// The target of a drain.
 ///
 /// # Examples
 ///
@@ -22,10 +22,10 @@
 #[derive(Clone, Debug, Display, Eq, Hash, PartialEq, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub enum DrainTarget {
-    /// Every endpoint of a failure domain.
+    /// All endpoints of a failure domain.
     #[display("failure-domain:{_0}")]
     FailureDomain(FailureDomainId),
-    /// Every group that a VM belongs to.
+    /// All endpoints that use a VM, including the group that it belongs to.
     #[display("vm:{_0}")]
     Vm(VmId),
     /// One endpoint.
@@ -36,18 +36,18 @@
     Group(GroupId),
 }
 
-/// Why a text can't be read as a drain target.
+/// The error of parsing a drain target.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
 pub enum ParseDrainTargetError {
     /// The kind before the colon is missing or unknown.
     #[error("{0:?} must be failure-domain:NAME, vm:NAME, endpoint:NAME or group:NAME")]
     Kind(String),
-    /// The name after the colon can't be used.
+    /// The name after the colon is invalid.
     #[error("{text:?}: {source}")]
     Name {
-        /// The whole text.
+        /// The text that was parsed.
         text: String,
-        /// What is wrong with the name.
+        /// The error of parsing the name.
         source: ParseIdError,
     },
 }
@@ -89,14 +89,14 @@
 /// A drain in force.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Drain {
-    /// The change that began it.
+    /// The change that started the drain.
     pub publish_id: PublishId,
-    /// Who ordered it.
+    /// The operator that started the drain.
     pub author: String,
-    /// The address that the order came from.
+    /// The operator's address.
     pub from: String,
-    /// When it was ordered, in milliseconds of wall-clock time.
+    /// When the drain was requested, in milliseconds of wall-clock time.
     pub at_ms: u64,
-    /// Where it stands in the log.
+    /// The offset of the drain's record in the log.
     pub offset: Offset,
 }
--- a/crates/sesamecart-fold/src/fold.rs
+++ b/crates/sesamecart-fold/src/fold.rs
@@ -1,4 +1,4 @@
-//! Applying records one by one.
+//! Application of records to the state.
 
 mod action;
 mod group;
@@ -9,21 +9,21 @@
 
 use crate::action::ACTION_HORIZON_MS;
 use crate::audit::{AuditEntry, AuditKind};
-use crate::checkpoint::CheckpointMark;
+use crate::checkpoint::CheckpointPosition;
 use crate::record::{DecodeError, Record};
 use crate::state::State;
 use crate::verdict::{Applied, Rejection};
 
-/// The fold: a state, and the rules by which records change it.
+/// A state and the rules by which records change it.
 ///
-/// It reads no clock and asks nobody, so every node that applies the same records reaches the same
-/// state; see docs/design/fold.md.
+/// It is deterministic: it reads no clock and does no I/O, so every node that applies the same records
+/// reaches the same state; see docs/design/fold.md.
 #[derive(Clone, Debug, Default)]
 pub struct Fold {
     state: State,
 }
 
-/// Where a record stands in the log.
+/// The offset of a record in the log and the time of its append.
 #[derive(Clone, Copy, Debug)]
 struct Position {
     offset: Offset,
@@ -31,7 +31,7 @@
 }
 
 impl Fold {
-    /// Starts before the first record.
+    /// Creates a fold with an empty state, before the first record.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
@@ -45,17 +45,17 @@
         self.state
     }
 
-    /// Returns the state so far.
+    /// Returns the current state.
     #[must_use]
     pub const fn state(&self) -> &State {
         &self.state
     }
 
-    /// Applies the record at `offset` and tells what it did.
+    /// Applies the record at `offset` and returns its effect.
     ///
-    /// A record that was applied before, or that comes after a gap, changes nothing. Bytes that
-    /// can't be read are skipped, with a line in the audit trail: stopping at them would hold back
-    /// every later change on every node.
+    /// A record that was already applied, or that follows a gap, changes nothing. A record that can't be
+    /// decoded is skipped and added to the audit trail, since stopping there would block every later change
+    /// on every node.
     pub fn apply(&mut self, offset: Offset, logged_at_ms: u64, data: &[u8]) -> Applied {
         let expected = self.state.next_offset;
         if offset < expected {
@@ -80,11 +80,11 @@
 
     fn expire_actions(&mut self, now_ms: u64) {
         self.state.actions.expire(now_ms);
-        let known_from = self
+        let complete_from_ms = self
             .state
             .actions_since_ms
             .saturating_add(ACTION_HORIZON_MS);
-        if known_from < now_ms {
+        if complete_from_ms < now_ms {
             self.state.actions_since_ms = 0;
         }
     }
@@ -131,7 +131,7 @@
             } => self.apply_intents(at, shard, epoch, &entries),
             Record::ActionOutcomes { shard, entries, .. } => self.apply_outcomes(shard, &entries),
             Record::ActionBatch { parts } => self.apply_batch(at, &parts),
-            Record::Checkpoint { state } => self.note_checkpoint(at, &state),
+            Record::Checkpoint { state } => self.record_checkpoint(at, &state),
         }
     }
 
@@ -143,25 +143,26 @@
         order: String,
     ) -> Applied {
         let newest = self.state.orders.get(&endpoint).copied();
-        let mut entry = at.audit(AuditKind::Order, &endpoint);
+        let mut entry = at.audit_entry(AuditKind::Order, &endpoint);
         entry.author = format!("epoch {epoch}");
         entry.new = order;
         if let Some(newest) = newest.filter(|newest| *newest > epoch) {
-            return self.reject(entry, Rejection::OldOrder { endpoint, newest });
+            return self.reject(entry, Rejection::StaleOrder { endpoint, newest });
         }
         self.accept(entry);
         self.state.orders.insert(endpoint.clone(), epoch);
         Applied::Ordered { endpoint }
     }
 
-    /// Notes a checkpoint; a node that has read every record before it has no other use for it.
-    fn note_checkpoint(&mut self, at: Position, state: &State) -> Applied {
+    /// Records the position of a checkpoint, whose state adds nothing for a node that has read every record
+    /// before it.
+    fn record_checkpoint(&mut self, at: Position, state: &State) -> Applied {
         let covers = state.next_offset;
         if covers > at.offset || state.revision > self.state.revision {
-            let entry = at.audit(AuditKind::Checkpoint, "checkpoint");
+            let entry = at.audit_entry(AuditKind::Checkpoint, "checkpoint");
             return self.reject(entry, Rejection::CheckpointAhead { covers });
         }
-        self.state.checkpoint = Some(CheckpointMark {
+        self.state.checkpoint = Some(CheckpointPosition {
             offset: at.offset,
             covers,
             logged_at_ms: at.logged_at_ms,
@@ -170,17 +171,17 @@
     }
 
     fn skip(&mut self, at: Position, error: DecodeError) -> Applied {
-        let mut entry = at.audit(AuditKind::Unreadable, "record");
+        let mut entry = at.audit_entry(AuditKind::Unreadable, "record");
         entry.verdict = format!("skipped: {error}");
         self.state.audit.push(entry);
         Applied::Skipped(error)
     }
 
-    /// Returns the rejection of a record that speaks for a lease not in force.
+    /// Returns a rejection unless `epoch` is that of the shard's lease in force.
     ///
-    /// A holder that was paused for longer than its lease may append long after its successor has
-    /// taken over; its records must change nothing.
-    fn stale(&self, shard: ShardId, epoch: Epoch) -> Option<Rejection> {
+    /// A holder that was paused for longer than its lease may append records long after its successor has
+    /// taken over. They must change nothing.
+    fn reject_stale_epoch(&self, shard: ShardId, epoch: Epoch) -> Option<Rejection> {
         let lease = self.state.leases.get(&shard);
         let in_force = lease.is_some_and(|lease| lease.epoch == epoch && !lease.released);
         (!in_force).then(|| Rejection::StaleEpoch {
@@ -203,7 +204,8 @@
 }
 
 impl Position {
-    fn audit(self, kind: AuditKind, subject: impl std::fmt::Display) -> AuditEntry {
+    /// Creates an audit entry with the offset and time of the record.
+    fn audit_entry(self, kind: AuditKind, subject: impl std::fmt::Display) -> AuditEntry {
         AuditEntry {
             offset: self.offset,
             logged_at_ms: self.logged_at_ms,
--- a/crates/sesamecart-fold/src/fold/action.rs
+++ b/crates/sesamecart-fold/src/fold/action.rs
@@ -1,4 +1,4 @@
-//! Keyed actions that begin and end.
+//! Intents and outcomes of keyed actions.
 
 use sesamecart_vocabulary::{Epoch, ShardId};
 
@@ -8,10 +8,10 @@
 use crate::verdict::Applied;
 
 impl Fold {
-    /// Notes intents of the shard's holder.
+    /// Records intents of the shard's lease holder.
     ///
-    /// An intent counts only under the epoch in force. Otherwise a paused holder could come back and
-    /// send an action that its successor has sent, or told the caller about, meanwhile.
+    /// Intents are accepted only in the epoch in force. Otherwise a holder that resumes after a pause could
+    /// send an action that its successor has already sent or reported to the caller.
     pub(super) fn apply_intents(
         &mut self,
         at: Position,
@@ -19,8 +19,8 @@
         epoch: Epoch,
         entries: &[ActionIntent],
     ) -> Applied {
-        if let Some(rejection) = self.stale(shard, epoch) {
-            let mut entry = at.audit(AuditKind::Action, format_args!("shard {shard}"));
+        if let Some(rejection) = self.reject_stale_epoch(shard, epoch) {
+            let mut entry = at.audit_entry(AuditKind::Action, format_args!("shard {shard}"));
             entry.author = format!("epoch {epoch}");
             entry.new = format!("{} intents", entries.len());
             return self.reject(entry, rejection);
@@ -34,9 +34,9 @@
         Applied::Intents { shard, refused }
     }
 
-    /// Applies the ends and intents that one append carries for several shards.
+    /// Applies the outcomes and intents of several shards.
     ///
-    /// Ends come first, so that a key whose try wasn't run can be begun again in the same append.
+    /// Outcomes are applied first, so that a key whose attempt did not run can be retried in the same append.
     pub(super) fn apply_batch(&mut self, at: Position, parts: &[ActionPart]) -> Applied {
         let mut verdicts = Vec::new();
         for part in parts {
@@ -50,6 +50,7 @@
         Applied::ActionBatch { verdicts }
     }
 
+    /// Records outcomes, whatever their epoch.
     pub(super) fn apply_outcomes(&mut self, shard: ShardId, entries: &[ActionOutcome]) -> Applied {
         let mut ignored: Vec<ActionKey> = Vec::new();
         for outcome in entries {
--- a/crates/sesamecart-fold/src/fold/group.rs
+++ b/crates/sesamecart-fold/src/fold/group.rs
@@ -1,4 +1,4 @@
-//! VMs that join and leave serving groups.
+//! Assignment of VMs to serving groups.
 
 use sesamecart_vocabulary::{Epoch, Generation, GroupId, VmId};
 
@@ -8,10 +8,10 @@
 use crate::verdict::{Applied, Rejection};
 
 impl Fold {
-    /// Puts VMs into a group if none of them belongs to another one.
+    /// Assigns VMs to a group if none of them belongs to another group.
     ///
-    /// Two groups' owners may pick the same spare VM at once. The first record wins on every node,
-    /// so a VM never serves two groups. A VM of the same group moves on to the new generation.
+    /// The owners of two groups may select the same spare VM concurrently. The first record wins on every
+    /// node, so a VM never serves two groups. VMs that already belong to the group get the new generation.
     pub(super) fn apply_assign(
         &mut self,
         at: Position,
@@ -21,7 +21,7 @@
         shard_epoch: Epoch,
     ) -> Applied {
         let mut entry = self.assignment_audit(at, &group, shard_epoch);
-        entry.new = format!("{} in generation {generation}", words(&vms));
+        entry.new = format!("{} in generation {generation}", join_names(&vms));
         if let Some(rejection) = self.assign_rejection(&group, &vms, generation, shard_epoch) {
             return self.reject(entry, rejection);
         }
@@ -37,6 +37,7 @@
         Applied::Assigned { group, generation }
     }
 
+    /// Removes a VM from a group, unless the VM has a newer generation than the record.
     pub(super) fn apply_unassign(
         &mut self,
         at: Position,
@@ -47,7 +48,9 @@
     ) -> Applied {
         let mut entry = self.assignment_audit(at, &group, shard_epoch);
         entry.new = format!("without {vm}");
-        if let Some(rejection) = self.stale(self.state.group_shard(&group), shard_epoch) {
+        if let Some(rejection) =
+            self.reject_stale_epoch(self.state.group_shard(&group), shard_epoch)
+        {
             return self.reject(entry, rejection);
         }
         let assigned = self.state.assignments.get(&vm);
@@ -61,6 +64,7 @@
         Applied::Unassigned { vm }
     }
 
+    /// Returns the rule that an assignment breaks, if any.
     fn assign_rejection(
         &self,
         group: &GroupId,
@@ -68,7 +72,8 @@
         generation: Generation,
         shard_epoch: Epoch,
     ) -> Option<Rejection> {
-        if let Some(rejection) = self.stale(self.state.group_shard(group), shard_epoch) {
+        if let Some(rejection) = self.reject_stale_epoch(self.state.group_shard(group), shard_epoch)
+        {
             return Some(rejection);
         }
         let last = self.state.generations.get(group).copied();
@@ -81,7 +86,7 @@
         }
         vms.iter().find_map(|vm| {
             let found = self.state.assignments.get(vm)?;
-            (found.group != *group).then(|| Rejection::VmTaken {
+            (found.group != *group).then(|| Rejection::VmInOtherGroup {
                 vm: vm.clone(),
                 group: found.group.clone(),
             })
@@ -91,18 +96,18 @@
     fn assignment_audit(&self, at: Position, group: &GroupId, epoch: Epoch) -> AuditEntry {
         let shard = self.state.group_shard(group);
         let lease = self.state.leases.get(&shard);
-        let mut entry = at.audit(AuditKind::Assignment, format_args!("group {group}"));
+        let mut entry = at.audit_entry(AuditKind::Assignment, format_args!("group {group}"));
         entry.author = match lease.filter(|lease| lease.epoch == epoch) {
             Some(lease) => lease.holder.to_string(),
             None => format!("epoch {epoch}"),
         };
         let members: Vec<_> = self.state.members(group).cloned().collect();
-        entry.old = words(&members);
+        entry.old = join_names(&members);
         entry
     }
 }
 
-fn words(vms: &[VmId]) -> String {
+fn join_names(vms: &[VmId]) -> String {
     if vms.is_empty() {
         return "no VM".to_owned();
     }
--- a/crates/sesamecart-fold/src/fold/lease.rs
+++ b/crates/sesamecart-fold/src/fold/lease.rs
@@ -1,4 +1,4 @@
-//! Claims and releases of shards.
+//! Claims and releases of shard leases.
 
 use sesamecart_vocabulary::{Epoch, NodeId, SHARDS, ShardId};
 
@@ -9,11 +9,11 @@
 use crate::verdict::{Applied, Rejection};
 
 impl Fold {
-    /// Gives a shard to a claimant that knew the epoch in force.
+    /// Grants a shard's lease if the claim is based on the epoch in force.
     ///
-    /// Two nodes may claim a shard at once, or a claim may lie in the log behind another that its
-    /// author never saw. Only the first that builds on the epoch in force counts, so that each
-    /// epoch has one successor.
+    /// Two nodes may claim a shard concurrently, or a claim may follow another one that its author had not
+    /// read. Only the first claim based on the epoch in force is accepted, so that each epoch has exactly one
+    /// successor.
     pub(super) fn apply_claim(&mut self, at: Position, record: Record) -> Applied {
         let Record::Claim {
             shard,
@@ -25,7 +25,7 @@
         else {
             unreachable!("called with another kind of record");
         };
-        let mut entry = at.audit(AuditKind::Lease, format_args!("shard {shard}"));
+        let mut entry = at.audit_entry(AuditKind::Lease, format_args!("shard {shard}"));
         entry.author = holder.to_string();
         entry.old = self.describe_lease(shard);
         entry.new = format!("{holder} at epoch {}", at.offset);
@@ -55,6 +55,7 @@
         Applied::Claimed { shard, epoch }
     }
 
+    /// Marks a lease as released if the record names its holder and epoch.
     pub(super) fn apply_release(
         &mut self,
         at: Position,
@@ -62,7 +63,7 @@
         holder: &NodeId,
         epoch: Epoch,
     ) -> Applied {
-        let mut entry = at.audit(AuditKind::Lease, format_args!("shard {shard}"));
+        let mut entry = at.audit_entry(AuditKind::Lease, format_args!("shard {shard}"));
         entry.author = holder.to_string();
         entry.old = self.describe_lease(shard);
         "released".clone_into(&mut entry.new);
--- a/crates/sesamecart-fold/src/fold/publish.rs
+++ b/crates/sesamecart-fold/src/fold/publish.rs
@@ -1,4 +1,4 @@
-//! Operators' changes: configurations and drains.
+//! Changes by operators: configurations and drains.
 
 use std::sync::Arc;
 
@@ -10,18 +10,18 @@
 use crate::record::Record;
 use crate::verdict::{Applied, PublishVerdict, Rejection};
 
-/// The number of verdicts that a state keeps.
+/// The maximum number of verdicts in the state.
 ///
-/// A publisher asks for its verdict within seconds, and an operator changes something some hundred
-/// times a day, so this covers days.
-const KEPT_VERDICTS: usize = 1_024;
+/// A publisher queries its verdict within seconds. With about a hundred changes a day, this limit covers
+/// several days.
+const MAX_VERDICTS: usize = 1_024;
 
 impl Fold {
-    /// Puts a configuration in force if it was made against the revision in force.
+    /// Puts a configuration in force if it is based on the revision in force.
     ///
-    /// Operators race each other, and the log has no compare-and-set. Since every node decides by
-    /// this rule, exactly one of two changes made against one revision wins, and it is the same one
-    /// everywhere.
+    /// Operators may publish concurrently, and the log has no compare-and-set. Since every node applies this
+    /// rule, exactly one of two changes based on the same revision wins, and it is the same one on every
+    /// node.
     pub(super) fn apply_publish(&mut self, at: Position, record: Record) -> Applied {
         let Record::Publish {
             publish_id,
@@ -38,7 +38,7 @@
             return Applied::Repeated { publish_id };
         }
         let old = self.state.revision;
-        let mut entry = at.audit(AuditKind::Publish, "configuration");
+        let mut entry = at.audit_entry(AuditKind::Publish, "configuration");
         entry.author.clone_from(&author);
         entry.from = from;
         entry.old = self.describe_configuration();
@@ -51,7 +51,7 @@
                 offset: at.offset,
             };
             entry.new = format!("sheet {} of {}", configuration.sheet, configuration.date);
-            self.keep_verdict(publish_id, verdict.clone());
+            self.store_verdict(publish_id, verdict.clone());
             return self.reject(entry, Rejection::Publish(verdict));
         }
         self.state.revision = old.next();
@@ -62,10 +62,11 @@
         self.accept(entry);
         let revision = self.state.revision;
         let offset = at.offset;
-        self.keep_verdict(publish_id, PublishVerdict::Accepted { revision, offset });
+        self.store_verdict(publish_id, PublishVerdict::Accepted { revision, offset });
         Applied::Published { revision }
     }
 
+    /// Starts or ends a drain.
     pub(super) fn apply_drain(&mut self, at: Position, record: Record) -> Applied {
         let Record::Drain {
             publish_id,
@@ -81,17 +82,17 @@
         if self.state.verdicts.contains_key(&publish_id) {
             return Applied::Repeated { publish_id };
         }
-        let mut entry = at.audit(AuditKind::Drain, &target);
+        let mut entry = at.audit_entry(AuditKind::Drain, &target);
         entry.author.clone_from(&author);
         entry.from.clone_from(&from);
-        entry.old = drain_word(self.state.drains.contains_key(&target));
-        entry.new = drain_word(on);
+        entry.old = drain_status(self.state.drains.contains_key(&target));
+        entry.new = drain_status(on);
         self.accept(entry);
         let verdict = PublishVerdict::Accepted {
             revision: self.state.revision,
             offset: at.offset,
         };
-        self.keep_verdict(publish_id.clone(), verdict);
+        self.store_verdict(publish_id.clone(), verdict);
         if on {
             let drain = Drain {
                 publish_id,
@@ -118,16 +119,16 @@
         )
     }
 
-    fn keep_verdict(&mut self, publish_id: PublishId, verdict: PublishVerdict) {
+    fn store_verdict(&mut self, publish_id: PublishId, verdict: PublishVerdict) {
         let verdicts = &mut self.state.verdicts;
         verdicts.insert(publish_id, verdict);
-        if verdicts.len() > KEPT_VERDICTS {
+        if verdicts.len() > MAX_VERDICTS {
             verdicts.shift_remove_index(0);
         }
     }
 }
 
-fn drain_word(on: bool) -> String {
-    let word = if on { "drained" } else { "in service" };
-    word.to_owned()
+fn drain_status(on: bool) -> String {
+    let status = if on { "drained" } else { "in service" };
+    status.to_owned()
 }
--- a/crates/sesamecart-fold/src/lease.rs
+++ b/crates/sesamecart-fold/src/lease.rs
@@ -1,4 +1,4 @@
-//! Leases and VM assignments as the log tells them.
+//! Leases and VM assignments in the state.
 
 use serde::{Deserialize, Serialize};
 use sesamecart_vocabulary::{Epoch, Generation, GroupId, Incarnation, NodeId};
@@ -6,17 +6,17 @@
 /// The newest accepted claim of a shard.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct LeaseRecord {
-    /// The node that claimed it.
+    /// The node that claimed the lease.
     pub holder: NodeId,
-    /// The life of that node.
+    /// The incarnation of that node.
     pub incarnation: Incarnation,
-    /// The fencing number: the claim's offset.
+    /// The fencing token, which is the offset of the claim.
     pub epoch: Epoch,
-    /// The nodes that may extend it while the log is out.
+    /// The nodes that may extend the lease while the log is unavailable.
     pub voters: Vec<NodeId>,
-    /// Whether the holder gave it up.
+    /// Whether the holder has released the lease.
     pub released: bool,
-    /// When the log took the claim, in milliseconds of the log's clock.
+    /// When the claim was appended, in milliseconds of the log's clock.
     pub logged_at_ms: u64,
 }
 
@@ -25,6 +25,6 @@
 pub struct Assignment {
     /// The group.
     pub group: GroupId,
-    /// The group's generation that the VM was assigned in.
+    /// The generation of the group to which the VM was assigned.
     pub generation: Generation,
 }
--- a/crates/sesamecart-fold/src/lib.rs
+++ b/crates/sesamecart-fold/src/lib.rs
@@ -1,7 +1,7 @@
-//! The pure fold over the platform's log: records, verdicts, checkpoints and audit.
+//! A pure fold over the records of the platform's log, with verdicts, checkpoints and an audit trail.
 //!
-//! Every node folds the same records in the same order and so reaches the same state without a
-//! store or a consensus group of the project's own; see docs/design/fold.md.
+//! Every node applies the same records in the same order and therefore reaches the same state, without a
+//! separate store or consensus group; see docs/design/fold.md.
 
 mod action;
 mod audit;
@@ -25,7 +25,7 @@
 };
 pub use audit::{AuditEntry, AuditKind, AuditTail};
 pub use body::EncodedBody;
-pub use checkpoint::{CheckpointError, CheckpointMark};
+pub use checkpoint::{CheckpointError, CheckpointPosition};
 pub use drain::{Drain, DrainTarget, ParseDrainTargetError};
 pub use fold::Fold;
 pub use lease::{Assignment, LeaseRecord};
--- a/crates/sesamecart-fold/src/provisional.rs
+++ b/crates/sesamecart-fold/src/provisional.rs
@@ -1,4 +1,4 @@
-//! Drains ordered while the log is out: they hold for a limited time and spread between nodes.
+//! Provisional drains, requested while the log is unavailable: nodes exchange them, and they expire.
 
 use std::time::Duration;
 
@@ -10,57 +10,58 @@
 use crate::record::{DecodeError, Record};
 use crate::state::State;
 
-/// How long a provisional drain holds without the log.
+/// The maximum lifetime of a provisional drain.
 ///
-/// It must outlast the outage in which an operator takes a domain out, but a drain that a node cut
-/// off from all others keeps must end by itself at some time.
+/// It must be longer than the outage during which an operator drains a failure domain. It is limited so that
+/// a drain eventually ends on a node that is cut off from all others.
 pub const PROVISIONAL_LIMIT: Duration = Duration::from_secs(30 * 60);
 
-/// The most provisional drains that a node keeps, since they travel in heartbeats.
-const MAX_PROVISIONAL: usize = 64;
+/// The maximum number of provisional drains on a node, limited because heartbeats contain them.
+const MAX_PROVISIONAL_DRAINS: usize = 64;
 
-/// A drain that the log doesn't have yet.
+/// A drain that is not in the log yet.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ProvisionalDrain {
-    /// What is drained.
+    /// The target of the drain.
     pub target: DrainTarget,
-    /// Who ordered it.
+    /// The operator that requested the drain.
     pub author: String,
-    /// When, in milliseconds of wall-clock time.
+    /// When the drain was requested, in milliseconds of wall-clock time.
     pub at_ms: u64,
-    /// The record as it will be appended.
+    /// The encoded record to append once the log is available.
     pub record: Vec<u8>,
-    /// When it ends unless the log confirms it.
+    /// When the drain expires unless it appears in the log.
     pub expires_at: Timestamp,
 }
 
-/// Why a provisional drain isn't taken.
+/// The reason why a provisional drain is not accepted.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
 pub enum ProvisionalError {
-    /// The record can't be read.
+    /// The record can't be decoded.
     #[error(transparent)]
     Unreadable(#[from] DecodeError),
-    /// The record isn't the begin of a drain.
+    /// The record is not the start of a drain.
     #[error("only the begin of a drain can be provisional")]
     Kind,
-    /// There are too many.
-    #[error("there are {MAX_PROVISIONAL} provisional drains already")]
+    /// The maximum number of provisional drains is reached.
+    #[error("there are {MAX_PROVISIONAL_DRAINS} provisional drains already")]
     TooMany,
 }
 
-/// The provisional drains that a node knows.
+/// The provisional drains on a node.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct ProvisionalDrains {
     by_id: IndexMap<PublishId, ProvisionalDrain>,
 }
 
 impl ProvisionalDrains {
-    /// Takes a drain that an operator ordered here or that another node passed on, and returns
-    /// whether it is news.
+    /// Adds a drain from an operator or another node and returns whether it is new.
+    ///
+    /// A drain that is already in the log, or has no time `remaining`, is ignored.
     ///
     /// # Errors
     ///
-    /// Returns an error for anything but the begin of a drain, and when there are too many.
+    /// Returns an error if the record is not the start of a drain, or if there are too many drains.
     pub fn add(
         &mut self,
         record: &[u8],
@@ -79,11 +80,11 @@
         else {
             return Err(ProvisionalError::Kind);
         };
-        let is_known = self.by_id.contains_key(&publish_id);
-        if is_known || remaining.is_zero() || state.verdicts.contains_key(&publish_id) {
+        let is_present = self.by_id.contains_key(&publish_id);
+        if is_present || remaining.is_zero() || state.verdicts.contains_key(&publish_id) {
             return Ok(false);
         }
-        if self.by_id.len() >= MAX_PROVISIONAL {
+        if self.by_id.len() >= MAX_PROVISIONAL_DRAINS {
             return Err(ProvisionalError::TooMany);
         }
         let drain = ProvisionalDrain {
@@ -97,7 +98,7 @@
         Ok(true)
     }
 
-    /// Drops what the log has meanwhile and what has expired; returns whether anything went.
+    /// Removes the drains that have expired or are now in the log, and returns whether it removed any.
     pub fn settle(&mut self, state: &State, now: Timestamp) -> bool {
         let before = self.by_id.len();
         self.by_id.retain(|publish_id, drain| {
@@ -106,7 +107,7 @@
         self.by_id.len() != before
     }
 
-    /// Returns what is drained.
+    /// Returns the targets of all drains.
     #[must_use]
     pub fn targets(&self) -> IndexSet<DrainTarget> {
         self.by_id
@@ -115,18 +116,18 @@
             .collect()
     }
 
-    /// Returns every drain with its publish id.
+    /// Returns all drains with their publish ids.
     pub fn iter(&self) -> impl Iterator<Item = (&PublishId, &ProvisionalDrain)> {
         self.by_id.iter()
     }
 
-    /// Returns the drain of a publish id.
+    /// Returns the drain with a publish id.
     #[must_use]
     pub fn get(&self, publish_id: &PublishId) -> Option<&ProvisionalDrain> {
         self.by_id.get(publish_id)
     }
 
-    /// Returns whether there is none.
+    /// Returns whether there are no provisional drains.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.by_id.is_empty()
--- a/crates/sesamecart-fold/src/reader.rs
+++ b/crates/sesamecart-fold/src/reader.rs
@@ -1,4 +1,4 @@
-//! Reading the log page by page, also across a gap that retention made.
+//! Reading of the log in pages, with recovery from a checkpoint if retention has removed records.
 
 use std::cmp::Ordering;
 
@@ -11,80 +11,81 @@
 use crate::state::State;
 use crate::verdict::Applied;
 
-/// One record as the log or a peer hands it over.
+/// An encoded record from the log or a peer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct RawRecord<'a> {
-    /// Where it stands.
+    /// The offset of the record in the log.
     pub offset: Offset,
-    /// When the log took it, in milliseconds of the log's clock.
+    /// When the record was appended, in milliseconds of the log's clock.
     pub logged_at_ms: u64,
-    /// Its bytes.
+    /// The encoded record.
     pub data: &'a [u8],
 }
 
-/// The bounds of a page.
+/// The bounds of the log when a page was read.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct PageBounds {
-    /// The oldest offset that is kept.
+    /// The oldest offset that the log retains.
     pub first: Offset,
-    /// The offset that the next append gets.
+    /// The offset of the next append.
     pub next: Offset,
 }
 
-/// What a page did.
+/// The effect of a page.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct PageRead {
     /// Whether a checkpoint in the page replaced the state.
     pub adopted: bool,
-    /// What each record did that was applied.
+    /// The effect of each record that was applied.
     pub applied: Vec<AppliedAt>,
-    /// Where the reader stands now.
+    /// The status of the reader after the page.
     pub standing: Standing,
 }
 
-/// What the record at one offset did.
+/// The effect of the record at one offset.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct AppliedAt {
-    /// Where the record stands.
+    /// The offset of the record.
     pub offset: Offset,
-    /// What it did.
+    /// The effect of the record.
     pub applied: Applied,
 }
 
-/// Where a reader stands.
+/// The status of a reader in relation to the log.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
 pub enum Standing {
-    /// The state is as new as the log's tail.
+    /// The state includes every record of the log.
     #[display("at the tail")]
     AtTail,
-    /// The log's end lies before the state's, so its answer is an old one. It needs an alarm if it
-    /// stays so.
+    /// The log's end is before the state's next offset, so the log's response is outdated. If this persists,
+    /// it must raise an alarm.
     #[display("ahead of the log's answer")]
     Ahead,
-    /// There is more to read.
+    /// There are more records to read.
     #[display("behind the tail")]
     Behind,
-    /// Records are gone that the state needs; a checkpoint is looked for.
+    /// Retention has removed records that the state needs, and the reader searches for a checkpoint.
     #[display("looking for a checkpoint")]
     Seeking,
-    /// No checkpoint in the log helps; only a peer's state does. It needs an alarm.
+    /// The log has no usable checkpoint, so only a peer's state can help. It must raise an alarm.
     #[display("without a checkpoint that helps")]
     Stranded,
 }
 
 /// Reads pages of the log into a fold.
 ///
-/// The log forgets records after its retention. A node that was away for longer, or that starts
-/// new, must not go on from what is left: it would miss the changes that are gone. It looks for a
-/// checkpoint instead, and takes only one that doesn't go back behind its own state.
+/// The log removes records after its retention time. A node that was offline for longer, or that is new,
+/// must not continue with the remaining records, since it would miss the changes in the removed ones. It
+/// searches for a checkpoint instead, and adopts only one that isn't older than its own state.
 #[derive(Clone, Debug, Default)]
 pub struct LogReader {
     fold: Fold,
+    /// While the reader searches for a checkpoint, the offset where the search continues.
     seek: Option<Offset>,
 }
 
 impl LogReader {
-    /// Starts with a fold.
+    /// Creates a reader that continues from the state of a fold.
     #[must_use]
     pub const fn new(fold: Fold) -> Self {
         Self { fold, seek: None }
@@ -96,13 +97,13 @@
         &self.fold
     }
 
-    /// Returns the offset to read from next.
+    /// Returns the offset of the next page to read.
     #[must_use]
     pub fn wants(&self) -> Offset {
         self.seek.unwrap_or(self.fold.state().next_offset)
     }
 
-    /// Takes one page, which must have been read from [`LogReader::wants`].
+    /// Applies a page, which must start at [`LogReader::wants`].
     pub fn take<'a>(
         &mut self,
         bounds: PageBounds,
@@ -118,7 +119,7 @@
         };
         for record in records {
             if self.seek.is_some() {
-                adopted |= self.look_at(bounds, record);
+                adopted |= self.adopt_checkpoint(bounds, record);
                 continue;
             }
             let outcome = self
@@ -138,10 +139,10 @@
         }
     }
 
-    /// Takes records that a peer passes on, as far as they go on from the state.
+    /// Applies records from a peer as far as they continue the state without a gap.
     ///
-    /// A peer keeps only the newest records, so what it lacks says nothing about the log; a gap
-    /// starts no search for a checkpoint.
+    /// A peer retains only the newest records, so a gap doesn't mean that the log has lost records. It
+    /// therefore starts no search for a checkpoint.
     pub fn take_from_peer<'a>(
         &mut self,
         records: impl IntoIterator<Item = RawRecord<'a>>,
@@ -161,22 +162,22 @@
         applied
     }
 
-    /// Takes a peer's state, which may end a search for a checkpoint.
+    /// Adopts the state of a peer and ends a search for a checkpoint.
     ///
     /// # Errors
     ///
-    /// Returns an error, and keeps the own state, if the peer's is older.
+    /// Returns an error, and keeps the current state, if the peer's state is older.
     pub fn adopt(&mut self, state: State) -> Result<(), CheckpointError> {
         self.fold.adopt(state)?;
         self.seek = None;
         Ok(())
     }
 
-    /// Takes the checkpoint in a record, if it is one that helps, and returns whether it was.
+    /// Adopts the state if the record is a usable checkpoint, and returns whether it was.
     ///
-    /// It helps only if every record that it doesn't cover is still kept; otherwise the gap would
-    /// merely move.
-    fn look_at(&mut self, bounds: PageBounds, record: RawRecord<'_>) -> bool {
+    /// A checkpoint is usable only if the log still retains every record after it. Otherwise there would
+    /// still be a gap, only at another offset.
+    fn adopt_checkpoint(&mut self, bounds: PageBounds, record: RawRecord<'_>) -> bool {
         self.seek = Some(record.offset.next());
         let Ok(envelope) = Record::decode(record.data) else {
             return false;
@@ -184,8 +185,8 @@
         let Record::Checkpoint { state } = envelope.record else {
             return false;
         };
-        let reaches = state.next_offset >= bounds.first && state.next_offset <= record.offset;
-        let adopted = reaches && self.fold.adopt(*state).is_ok();
+        let closes_gap = state.next_offset >= bounds.first && state.next_offset <= record.offset;
+        let adopted = closes_gap && self.fold.adopt(*state).is_ok();
         if adopted {
             self.seek = None;
         }
@@ -199,8 +200,8 @@
             None => match self.fold.state().next_offset.cmp(&bounds.next) {
                 Ordering::Less => Standing::Behind,
                 Ordering::Equal => Standing::AtTail,
-                // A copy of the log that lags must not count as its tail: a lease would be renewed
-                // by a read that can't show the claim against it.
+                // The response of a lagging replica of the log must not be treated as the log's tail. A
+                // lease would be renewed by a read that can't include a newer claim.
                 Ordering::Greater => Standing::Ahead,
             },
         }
--- a/crates/sesamecart-fold/src/record.rs
+++ b/crates/sesamecart-fold/src/record.rs
@@ -1,4 +1,4 @@
-//! Records as they stand in the log.
+//! The records of the log and their encoding.
 
 use indexmap::IndexMap;
 use serde::de::IgnoredAny;
@@ -13,60 +13,60 @@
 use crate::drain::DrainTarget;
 use crate::state::State;
 
-/// The version of the records that this release writes, and the newest that it reads.
+/// The record version that this release writes, which is also the newest that it can read.
 pub const RECORD_VERSION: u32 = 1;
 
-/// One record of the log.
+/// A record of the log.
 ///
-/// Any change of a field's meaning needs a new version: nodes of two releases that read the same
-/// bytes differently would hold different states and never notice.
+/// Any change of a field's meaning requires a new version. Otherwise nodes of two releases would interpret
+/// the same bytes differently, and their states would diverge unnoticed.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Record {
     /// A new configuration.
     Publish {
-        /// The publisher's own name for this change.
+        /// The id that the publisher chose for this change.
         publish_id: PublishId,
-        /// The revision that it was made against.
+        /// The revision that the configuration is based on.
         base_revision: Revision,
-        /// Who published it.
+        /// The operator that published the configuration.
         author: String,
-        /// The address that it came from.
+        /// The operator's address.
         from: String,
-        /// When, in milliseconds of wall-clock time.
+        /// When the record was created, in milliseconds of wall-clock time.
         at_ms: u64,
-        /// The whole configuration.
+        /// The complete configuration.
         configuration: Box<Configuration>,
     },
-    /// A drain, or its end.
+    /// The start or end of a drain.
     Drain {
-        /// The publisher's own name for this change.
+        /// The id that the publisher chose for this change.
         publish_id: PublishId,
-        /// What is drained.
+        /// The target of the drain.
         target: DrainTarget,
-        /// Whether it begins or ends.
+        /// Whether the drain starts.
         on: bool,
-        /// Who ordered it.
+        /// The operator that requested the change.
         author: String,
-        /// The address that it came from.
+        /// The operator's address.
         from: String,
-        /// When, in milliseconds of wall-clock time.
+        /// When the record was created, in milliseconds of wall-clock time.
         at_ms: u64,
     },
     /// A node's claim of a shard's lease; its epoch is the offset of this record.
     Claim {
         /// The shard.
         shard: ShardId,
-        /// The claimant.
+        /// The node that claims the lease.
         holder: NodeId,
-        /// The claimant's life.
+        /// The incarnation of the claimant.
         incarnation: Incarnation,
-        /// The epoch that the claimant saw in force.
+        /// The epoch that was in force when the claimant last read the log.
         builds_on: Option<Epoch>,
-        /// The nodes that may extend the lease while the log is out.
+        /// The nodes that may extend the lease while the log is unavailable.
         voters: Vec<NodeId>,
     },
-    /// A holder gives its lease up.
+    /// The release of a lease by its holder.
     Release {
         /// The shard.
         shard: ShardId,
@@ -75,7 +75,7 @@
         /// The lease's epoch.
         epoch: Epoch,
     },
-    /// VMs join a group.
+    /// The assignment of VMs to a group.
     Assign {
         /// The group.
         group: GroupId,
@@ -85,17 +85,17 @@
         generation: Generation,
         /// The epoch of the group's shard.
         shard_epoch: Epoch,
-        /// The version of the model that the generation runs; empty in records that don't say.
+        /// The model version that the generation runs; empty in records without this field.
         #[serde(default, skip_serializing_if = "String::is_empty")]
         version: String,
     },
-    /// A VM leaves a group.
+    /// The removal of a VM from a group.
     Unassign {
         /// The VM.
         vm: VmId,
         /// The group.
         group: GroupId,
-        /// The group's generation that is meant.
+        /// The newest generation of the group to which the removal applies.
         generation: Generation,
         /// The epoch of the group's shard.
         shard_epoch: Epoch,
@@ -104,46 +104,46 @@
     OrderIssued {
         /// The endpoint.
         endpoint: EndpointId,
-        /// The order's fencing number.
+        /// The fencing token of the order.
         epoch: Epoch,
-        /// The order in words.
+        /// A description of the order.
         order: String,
-        /// When, in milliseconds of wall-clock time.
+        /// When the record was created, in milliseconds of wall-clock time.
         at_ms: u64,
     },
-    /// Keyed actions that are about to be sent.
+    /// Intents of keyed actions that are about to be sent.
     ActionIntents {
         /// The shard that owns the keys.
         shard: ShardId,
         /// The epoch of the shard's lease.
         epoch: Epoch,
-        /// The actions.
+        /// The intents.
         entries: Vec<ActionIntent>,
     },
-    /// Keyed actions that ended.
+    /// Outcomes of keyed actions.
     ActionOutcomes {
         /// The shard that owns the keys.
         shard: ShardId,
         /// The epoch of the shard's lease.
         epoch: Epoch,
-        /// The ends.
+        /// The outcomes.
         entries: Vec<ActionOutcome>,
     },
-    /// Keyed actions of several shards that one append carries together.
+    /// Intents and outcomes of keyed actions of several shards.
     ///
-    /// A node owns many shards, and an append for each would pass the log's rate under load.
+    /// A node owns many shards, and separate appends for each would exceed the log's rate limit under load.
     ActionBatch {
-        /// What is told of each shard.
+        /// The intents and outcomes of each shard.
         parts: Vec<ActionPart>,
     },
-    /// The whole state, written again before the log forgets what made it.
+    /// A snapshot of the state, written before retention removes the records that led to it.
     Checkpoint {
         /// The state.
         state: Box<State>,
     },
 }
 
-/// A record with the version that it was written in.
+/// A record with the version of its encoding.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Envelope {
     /// The version.
@@ -152,22 +152,22 @@
     pub record: Record,
 }
 
-/// Why bytes of the log can't be read as a record.
+/// The error of decoding a record.
 #[derive(Clone, Debug, Eq, Error, PartialEq)]
 pub enum DecodeError {
-    /// The bytes aren't a whole record.
+    /// The bytes are not a complete record.
     #[error("a torn or foreign record: {0}")]
-    Torn(String),
-    /// A later release wrote it.
+    Malformed(String),
+    /// A newer release wrote the record.
     #[error("a record of version {0}, but this release reads up to {RECORD_VERSION}")]
     NewerVersion(u32),
-    /// The version is known, but not the kind.
+    /// The version is supported, but the kind of record is unknown.
     #[error("a record of the unknown kind {0:?}")]
     UnknownKind(String),
 }
 
-/// The kinds of records, as they are written.
-const KINDS: [&str; 11] = [
+/// The encoded names of the record kinds.
+const RECORD_KINDS: [&str; 11] = [
     "publish",
     "drain",
     "claim",
@@ -192,7 +192,7 @@
 }
 
 impl Record {
-    /// Writes the record as the log takes it.
+    /// Encodes the record for the log.
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
         #[derive(Serialize)]
@@ -204,27 +204,27 @@
             v: RECORD_VERSION,
             record: self,
         };
-        serde_json::to_vec(&envelope).expect("a record's keys are text and its numbers whole")
+        serde_json::to_vec(&envelope).expect("records have string keys and integers only")
     }
 
-    /// Reads a record from the log's bytes.
+    /// Decodes a record of the log.
     ///
     /// # Errors
     ///
-    /// Returns an error for bytes that are torn, newer than this release, or of an unknown kind.
+    /// Returns an error if the record is incomplete, has a newer version or is of an unknown kind.
     pub fn decode(data: &[u8]) -> Result<Envelope, DecodeError> {
-        let torn = |error: serde_json::Error| DecodeError::Torn(error.to_string());
-        let version: Version = serde_json::from_slice(data).map_err(torn)?;
+        let malformed = |error: serde_json::Error| DecodeError::Malformed(error.to_string());
+        let version: Version = serde_json::from_slice(data).map_err(malformed)?;
         if version.v > RECORD_VERSION {
             return Err(DecodeError::NewerVersion(version.v));
         }
         serde_json::from_slice(data)
-            .map_err(|error| unknown_kind(data).unwrap_or_else(|| torn(error)))
+            .map_err(|error| unknown_kind(data).unwrap_or_else(|| malformed(error)))
     }
 }
 
 fn unknown_kind(data: &[u8]) -> Option<DecodeError> {
     let kind: Kind = serde_json::from_slice(data).ok()?;
     let name = kind.record.keys().next()?;
-    (!KINDS.contains(&name.as_str())).then(|| DecodeError::UnknownKind(name.clone()))
+    (!RECORD_KINDS.contains(&name.as_str())).then(|| DecodeError::UnknownKind(name.clone()))
 }
--- a/crates/sesamecart-fold/src/schedule.rs
+++ b/crates/sesamecart-fold/src/schedule.rs
@@ -1,4 +1,4 @@
-//! When the next checkpoint is due.
+//! The schedule of checkpoints.
 
 use std::time::Duration;
 
@@ -9,40 +9,40 @@
 /// How often checkpoints are written.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct CheckpointPace {
-    /// The longest time between two; well below the log's retention.
+    /// The maximum time between two checkpoints, which must be well below the log's retention.
     pub every: Duration,
-    /// The most records between two.
+    /// The maximum number of records between two checkpoints.
     pub records: u64,
 }
 
-/// Tells when the next checkpoint is due.
+/// Decides when this node writes a checkpoint.
 ///
-/// If none is written before the log forgets the last one, a new node finds nothing to start from;
-/// one would notice it as nodes that never become ready. The holder of shard 0 writes them. Should
-/// it have none, any node does after a longer time; a second checkpoint does no harm.
+/// If the log removes the last checkpoint before the next one is written, a new node has no state to start
+/// from and never becomes ready. The holder of shard 0 writes the checkpoints. If the shard has no holder,
+/// any node writes one after a longer time; a redundant checkpoint does no harm.
 #[derive(Clone, Copy, Debug)]
 pub struct CheckpointSchedule {
     pace: CheckpointPace,
-    /// How much later than the holder this node would write one.
-    lateness: Duration,
-    seen: Option<SeenMark>,
+    /// The additional delay of this node while it is not the holder.
+    fallback_delay: Duration,
+    observed: Option<ObservedCheckpoint>,
 }
 
-/// The newest checkpoint as this node saw it.
+/// The newest checkpoint that this node has observed, with the estimated time of its append.
 #[derive(Clone, Copy, Debug)]
-struct SeenMark {
+struct ObservedCheckpoint {
     offset: Option<Offset>,
     at: Timestamp,
 }
 
 impl CheckpointSchedule {
-    /// Makes a schedule; `spread` from 0 to 1 keeps nodes from writing at the same moment.
+    /// Creates a schedule; `jitter`, from 0 to 1, prevents nodes from writing at the same time.
     #[must_use]
-    pub fn new(pace: CheckpointPace, spread: f64) -> Self {
+    pub fn new(pace: CheckpointPace, jitter: f64) -> Self {
         Self {
             pace,
-            lateness: pace.every.mul_f64(0.5 + 0.5 * spread.clamp(0.0, 1.0)),
-            seen: None,
+            fallback_delay: pace.every.mul_f64(0.5 + 0.5 * jitter.clamp(0.0, 1.0)),
+            observed: None,
         }
     }
 
@@ -51,39 +51,39 @@
         if state.next_offset == Offset(0) {
             return false;
         }
-        let seen = self.see(state, now);
-        let lateness = if is_holder {
+        let observed = self.observe(state, now);
+        let fallback_delay = if is_holder {
             Duration::ZERO
         } else {
-            self.lateness
+            self.fallback_delay
         };
-        if now - seen.at >= self.pace.every + lateness {
+        if now - observed.at >= self.pace.every + fallback_delay {
             return true;
         }
-        let last = seen.offset.unwrap_or_default();
+        let last = observed.offset.unwrap_or_default();
         let records = state.next_offset.0.saturating_sub(last.0);
-        let most = if is_holder {
+        let max_records = if is_holder {
             self.pace.records
         } else {
             2 * self.pace.records
         };
-        records >= most
+        records >= max_records
     }
 
-    /// Notes the newest checkpoint, with the age that the log's clock gives it at first sight.
-    fn see(&mut self, state: &State, now: Timestamp) -> SeenMark {
-        let offset = state.checkpoint.map(|mark| mark.offset);
-        if let Some(seen) = self.seen.filter(|seen| seen.offset == offset) {
-            return seen;
+    /// Returns the newest checkpoint. Its age when first observed is taken from the log's clock.
+    fn observe(&mut self, state: &State, now: Timestamp) -> ObservedCheckpoint {
+        let offset = state.checkpoint.map(|position| position.offset);
+        if let Some(observed) = self.observed.filter(|observed| observed.offset == offset) {
+            return observed;
         }
-        let age_ms = state.checkpoint.map_or(0, |mark| {
-            state.logged_at_ms.saturating_sub(mark.logged_at_ms)
+        let age_ms = state.checkpoint.map_or(0, |position| {
+            state.logged_at_ms.saturating_sub(position.logged_at_ms)
         });
-        let seen = SeenMark {
+        let observed = ObservedCheckpoint {
             offset,
             at: now - Duration::from_millis(age_ms),
         };
-        self.seen = Some(seen);
-        seen
+        self.observed = Some(observed);
+        observed
     }
 }
--- a/crates/sesamecart-fold/src/state.rs
+++ b/crates/sesamecart-fold/src/state.rs
@@ -1,4 +1,4 @@
-//! The state that the log's records make.
+//! The state that results from the records of the log.
 
 use std::sync::Arc;
 
@@ -11,23 +11,23 @@
 
 use crate::action::Actions;
 use crate::audit::AuditTail;
-use crate::checkpoint::CheckpointMark;
+use crate::checkpoint::CheckpointPosition;
 use crate::drain::{Drain, DrainTarget};
 use crate::lease::{Assignment, LeaseRecord};
 use crate::verdict::PublishVerdict;
 
-/// What every node that has read the log up to `next_offset` agrees on.
+/// The state after all records before `next_offset`, identical on every node that has read them.
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct State {
     /// The offset of the next record to apply.
     pub next_offset: Offset,
-    /// The newest time of the log's clock that was seen, in milliseconds.
+    /// The newest append time of any record, in milliseconds of the log's clock.
     pub logged_at_ms: u64,
-    /// The number of configurations accepted so far.
+    /// The revision in force, which is the number of accepted configurations.
     pub revision: Revision,
-    /// Who published the configuration in force.
+    /// The operator that published the configuration in force.
     pub author: String,
-    /// When that was, in milliseconds of wall-clock time.
+    /// When the configuration was published, in milliseconds of wall-clock time.
     pub published_at_ms: u64,
     /// The configuration in force.
     pub configuration: Arc<Configuration>,
@@ -39,66 +39,70 @@
     pub assignments: IndexMap<VmId, Assignment>,
     /// The newest generation of each group.
     pub generations: IndexMap<GroupId, Generation>,
-    /// The version of the model that each group's generation runs.
+    /// The model version that the newest generation of each group runs.
     #[serde(default)]
     pub versions: IndexMap<GroupId, String>,
-    /// The newest epoch that gave each endpoint an order.
+    /// The epoch of the newest order to each endpoint.
     pub orders: IndexMap<EndpointId, Epoch>,
-    /// The keyed actions of the last hour.
+    /// The keyed actions of the last hour, as far as this node has read them.
     pub actions: Actions,
-    /// The log's time from which on every keyed action is known; 0 once the whole hour is.
+    /// The time of the log's clock from which on `actions` is complete; 0 if it covers the whole hour.
     #[serde(default)]
     pub actions_since_ms: u64,
-    /// What became of the newest changes, by publish id.
+    /// The verdicts on the newest changes, by publish id.
     pub verdicts: IndexMap<PublishId, PublishVerdict>,
-    /// The newest lines of the audit trail.
+    /// The newest entries of the audit trail.
     pub audit: AuditTail,
-    /// The newest checkpoint in the log.
-    pub checkpoint: Option<CheckpointMark>,
+    /// The position of the newest checkpoint in the log.
+    pub checkpoint: Option<CheckpointPosition>,
 }
 
 impl State {
-    /// Returns whether operators have taken an endpoint out of service.
+    /// Returns whether an endpoint is drained.
     ///
-    /// It is drained by name, with its group, with its VM or any VM of its group, or with its failure
-    /// domain.
+    /// A drain applies to an endpoint if its target is the endpoint, its group, its VM, any VM of its group
+    /// or its failure domain.
     #[must_use]
     pub fn is_drained(&self, endpoint: &EndpointId) -> bool {
         self.is_drained_by(endpoint, |target| self.drains.contains_key(target))
     }
 
-    /// Returns whether an endpoint is out of service by drains that `has` knows.
+    /// Returns whether an endpoint is drained by the targets for which `is_target` returns true.
     #[must_use]
-    pub fn is_drained_by(&self, endpoint: &EndpointId, has: impl Fn(&DrainTarget) -> bool) -> bool {
-        if has(&DrainTarget::Endpoint(endpoint.clone())) {
+    pub fn is_drained_by(
+        &self,
+        endpoint: &EndpointId,
+        is_target: impl Fn(&DrainTarget) -> bool,
+    ) -> bool {
+        if is_target(&DrainTarget::Endpoint(endpoint.clone())) {
             return true;
         }
-        let Some(found) = self.configuration.endpoints.get(endpoint) else {
+        let Some(config) = self.configuration.endpoints.get(endpoint) else {
             return false;
         };
-        if has(&DrainTarget::FailureDomain(found.failure_domain.clone())) {
+        if is_target(&DrainTarget::FailureDomain(config.failure_domain.clone())) {
             return true;
         }
-        let vm = found.vm.clone().map(DrainTarget::Vm);
-        if vm.is_some_and(|vm| has(&vm)) {
+        let vm = config.vm.clone().map(DrainTarget::Vm);
+        if vm.is_some_and(|vm| is_target(&vm)) {
             return true;
         }
-        match &found.kind {
-            EndpointKind::Group(group) => self.is_group_drained(group, has),
+        match &config.kind {
+            EndpointKind::Group(group) => self.is_group_drained(group, is_target),
             EndpointKind::Service(_) => false,
         }
     }
 
-    /// Returns whether every keyed action of the last hour is known.
+    /// Returns whether the state includes every keyed action of the last hour.
     ///
-    /// A node that started from a checkpoint doesn't know those before it. Until they have expired,
-    /// it must refuse keys that it never heard of: one of them may have run.
+    /// A node that started from a checkpoint lacks the actions before it. Until these have expired, the node
+    /// must refuse unknown keys, because their actions may have run.
     #[must_use]
     pub fn knows_actions(&self) -> bool {
         self.actions_since_ms == 0
     }
 
-    /// Returns the state as the log's checkpoints hold it, without the keyed actions.
+    /// Returns a copy without the keyed actions, as used for checkpoints in the log.
     pub(crate) fn without_actions(&self) -> Self {
         Self {
             next_offset: self.next_offset,
@@ -121,24 +125,24 @@
         }
     }
 
-    /// Keeps what a node knew of keyed actions before it took a checkpoint that knows none.
+    /// Adds the keyed actions of a node's previous state to a checkpoint without actions.
     ///
-    /// This node may itself have let some of them in, and would run them again if it forgot them.
-    pub(crate) fn with_actions_of(mut self, own: Self) -> Self {
+    /// The node may have admitted some of these actions itself, and would run them again if it lost them.
+    pub(crate) fn with_actions_of(mut self, previous: Self) -> Self {
         if !self.knows_actions() && self.actions.is_empty() {
-            self.actions = own.actions;
+            self.actions = previous.actions;
             self.actions.expire(self.logged_at_ms);
         }
         self
     }
 
-    /// Returns the epoch of a shard's newest accepted claim, also if it was released since.
+    /// Returns the epoch of a shard's newest accepted claim, even if the lease has been released.
     #[must_use]
     pub fn epoch(&self, shard: ShardId) -> Option<Epoch> {
         self.leases.get(&shard).map(|lease| lease.epoch)
     }
 
-    /// Returns the VMs that belong to a group.
+    /// Returns the VMs that are assigned to a group.
     pub fn members<'a>(&'a self, group: &'a GroupId) -> impl Iterator<Item = &'a VmId> {
         self.assignments
             .iter()
@@ -146,11 +150,10 @@
             .map(|(vm, _)| vm)
     }
 
-    /// Returns the shard whose owner controls a group: that of its fabric domain.
+    /// Returns the shard of a group's fabric domain, whose owner controls the group.
     ///
-    /// Repair chooses among all groups and spares of a fabric domain. If each group had a shard of
-    /// its own, two owners could take apart each other's groups at once; see
-    /// docs/design/groups.md.
+    /// Repair selects among all groups and spare VMs of a fabric domain. If each group had its own shard, two
+    /// owners could dissolve each other's groups concurrently; see docs/design/groups.md.
     #[must_use]
     pub fn group_shard(&self, group: &GroupId) -> ShardId {
         let vms = &self.configuration.vms;
@@ -162,12 +165,13 @@
         ShardId::of(vm.map_or(group.as_str(), |vm| vm.fabric_domain.as_str()))
     }
 
-    fn is_group_drained(&self, group: &GroupId, has: impl Fn(&DrainTarget) -> bool) -> bool {
+    fn is_group_drained(&self, group: &GroupId, is_target: impl Fn(&DrainTarget) -> bool) -> bool {
         let configured = self.configuration.groups.get(group);
         let mut vms = configured
             .into_iter()
             .flat_map(|group| &group.vms)
             .chain(self.members(group));
-        has(&DrainTarget::Group(group.clone())) || vms.any(|vm| has(&DrainTarget::Vm(vm.clone())))
+        is_target(&DrainTarget::Group(group.clone()))
+            || vms.any(|vm| is_target(&DrainTarget::Vm(vm.clone())))
     }
 }
--- a/crates/sesamecart-fold/src/tests.rs
+++ b/crates/sesamecart-fold/src/tests.rs
@@ -1,7 +1,7 @@
-//! Tests of the fold: verdicts, gaps, and what any order of records must keep.
+//! Tests of the fold: verdicts, log gaps, outages, and invariants for arbitrary sequences of records.
 
 mod any_order;
-mod kit;
+mod fixtures;
 mod outage;
 mod reader;
 mod verdicts;
--- a/crates/sesamecart-fold/src/tests/any_order.rs
+++ b/crates/sesamecart-fold/src/tests/any_order.rs
@@ -1,12 +1,12 @@
-//! What must hold whatever records come in whatever order.
+//! Invariants that hold for arbitrary sequences of records.
 
 use bolero::TypeGenerator;
 use indexmap::IndexMap;
 use sesamecart_property::check_property;
 use sesamecart_vocabulary::{Epoch, Offset, Revision, VmId};
 
-use super::kit::{
-    Feed, MemoryLog, assign, claim, drain, intents, name, publish, shard_of, unassign,
+use super::fixtures::{
+    FoldDriver, MemoryLog, assign, claim, drain, intents, name, publish, shard_of, unassign,
 };
 use crate::{Applied, LogReader, Record, Standing};
 
@@ -41,9 +41,9 @@
         key: u8,
         attempt: u8,
     },
-    Garbage(Vec<u8>),
+    Corrupt(Vec<u8>),
     Checkpoint,
-    Forget,
+    Truncate,
     Restart,
 }
 
@@ -53,8 +53,8 @@
     GROUPS[usize::from(index) % GROUPS.len()]
 }
 
-fn record(step: &Step, feed: &Feed) -> Option<Vec<u8>> {
-    let state = feed.fold.state();
+fn record(step: &Step, driver: &FoldDriver) -> Option<Vec<u8>> {
+    let state = driver.fold.state();
     let epoch = |group| state.epoch(shard_of(group)).unwrap_or_default();
     let record = match step {
         Step::Publish { id, base } => {
@@ -106,60 +106,60 @@
                 &format!("a-{attempt}"),
             )
         }
-        Step::Garbage(bytes) => return Some(bytes.clone()),
-        Step::Checkpoint => feed.fold.checkpoint(),
-        Step::Forget | Step::Restart => return None,
+        Step::Corrupt(bytes) => return Some(bytes.clone()),
+        Step::Checkpoint => driver.fold.checkpoint(),
+        Step::Truncate | Step::Restart => return None,
     };
     Some(record.encode())
 }
 
-/// Nodes read the same log at different speeds, restart, and meet its retention, while operators
-/// race and records are torn. Every node must end with one state, the revision must never fall, and
-/// no intent may be let in twice for one key.
+/// Nodes read the same log at different speeds, restart and fall behind its retention, while operators
+/// publish concurrently and records are corrupt. All nodes must reach the same state, the revision must never
+/// decrease, and no key may get two admitted attempts.
 #[test]
-fn nodes_agree_and_never_go_back() {
+fn nodes_converge_and_revisions_never_decrease() {
     check_property(bolero::produce::<Vec<Step>>(), |steps| {
         let mut log = MemoryLog::default();
-        let mut feed = Feed::default();
+        let mut driver = FoldDriver::default();
         let mut slow = LogReader::default();
-        let mut floor = Revision(0);
-        let mut covered = Offset(0);
-        let mut allowed: IndexMap<String, String> = IndexMap::new();
+        let mut min_revision = Revision(0);
+        let mut checkpoint_end = Offset(0);
+        let mut admitted: IndexMap<String, String> = IndexMap::new();
         for step in steps {
             match step {
-                Step::Forget => log.forget_before(covered),
+                Step::Truncate => log.truncate_before(checkpoint_end),
                 Step::Restart => {
                     slow = LogReader::default();
-                    floor = Revision(0);
+                    min_revision = Revision(0);
                 }
                 _ => {}
             }
-            if let Some(bytes) = record(step, &feed) {
-                let before = feed.fold.state().next_offset;
+            if let Some(bytes) = record(step, &driver) {
+                let before = driver.fold.state().next_offset;
                 log.append(bytes.clone());
-                feed.now_ms = 1_000 * before.0;
-                match feed.apply_bytes(&bytes) {
-                    Applied::Checkpointed { covers } => covered = covers,
+                driver.now_ms = 1_000 * before.0;
+                match driver.apply_bytes(&bytes) {
+                    Applied::Checkpointed { covers } => checkpoint_end = covers,
                     Applied::Intents { refused, .. } if refused.is_empty() => {
-                        note_allowed(&bytes, &mut allowed);
+                        record_admitted(&bytes, &mut admitted);
                     }
                     _ => {}
                 }
             }
             log.read_into(&mut slow);
-            assert!(slow.fold().state().revision >= floor);
-            floor = slow.fold().state().revision;
+            assert!(slow.fold().state().revision >= min_revision);
+            min_revision = slow.fold().state().revision;
         }
         while log.read_into(&mut slow).standing == Standing::Behind
             || log.read_into(&mut slow).standing == Standing::Seeking
         {}
         assert_eq!(log.read_into(&mut slow).standing, Standing::AtTail);
-        let without_actions = feed.fold.state().without_actions();
+        let without_actions = driver.fold.state().without_actions();
         assert_eq!(slow.fold().state().without_actions(), without_actions);
         if !slow.fold().state().knows_actions() {
-            slow.adopt(feed.fold.state().clone()).unwrap();
+            slow.adopt(driver.fold.state().clone()).unwrap();
         }
-        assert_eq!(slow.fold().state(), feed.fold.state());
+        assert_eq!(slow.fold().state(), driver.fold.state());
         for vm in slow.fold().state().assignments.keys() {
             let groups = GROUPS.map(|group| {
                 let group = name(group);
@@ -173,15 +173,18 @@
     });
 }
 
-fn note_allowed(bytes: &[u8], allowed: &mut IndexMap<String, String>) {
+fn record_admitted(bytes: &[u8], admitted: &mut IndexMap<String, String>) {
     let Record::ActionIntents { entries, .. } = Record::decode(bytes).unwrap().record else {
         unreachable!();
     };
     for entry in entries {
         let attempt = entry.attempt.to_string();
-        let first = allowed
+        let first = admitted
             .entry(entry.key.to_string())
             .or_insert(attempt.clone());
-        assert_eq!(*first, attempt, "two tries of one key were let in");
+        assert_eq!(
+            *first, attempt,
+            "two attempts with the same key were admitted"
+        );
     }
 }
--- a/crates/sesamecart-fold/src/tests/kit.rs
+++ b/crates/sesamecart-fold/src/tests/fixtures.rs
@@ -1,4 +1,4 @@
-//! Records and a log in memory.
+//! Records and an in-memory log for tests.
 
 use sesamecart_config::Configuration;
 use sesamecart_vocabulary::{
@@ -14,7 +14,7 @@
     text.parse().unwrap()
 }
 
-/// A log that forgets its oldest records when told to.
+/// An in-memory log whose oldest records can be removed, as retention does.
 #[derive(Clone, Default)]
 pub(super) struct MemoryLog {
     first: usize,
@@ -27,7 +27,7 @@
         Offset(self.records.len() as u64 - 1)
     }
 
-    pub(super) fn forget_before(&mut self, offset: Offset) {
+    pub(super) fn truncate_before(&mut self, offset: Offset) {
         self.first = usize::try_from(offset.0).unwrap();
     }
 
@@ -42,8 +42,8 @@
             next: self.next(),
         };
         let from = usize::try_from(reader.wants().0).unwrap().max(self.first);
-        let kept = self.records.iter().enumerate().skip(from).take(3);
-        let records = kept.map(|(index, data)| RawRecord {
+        let retained = self.records.iter().enumerate().skip(from).take(3);
+        let records = retained.map(|(index, data)| RawRecord {
             offset: Offset(index as u64),
             logged_at_ms: 1_000 * index as u64,
             data,
@@ -52,14 +52,14 @@
     }
 }
 
-/// A fold that is fed one record after the other.
+/// A fold to which a test applies records one at a time, at the time `now_ms` of the log's clock.
 #[derive(Default)]
-pub(super) struct Feed {
+pub(super) struct FoldDriver {
     pub(super) fold: Fold,
     pub(super) now_ms: u64,
 }
 
-impl Feed {
+impl FoldDriver {
     pub(super) fn apply(&mut self, record: &Record) -> Applied {
         self.apply_bytes(&record.encode())
     }
@@ -69,7 +69,7 @@
         self.fold.apply(offset, self.now_ms, data)
     }
 
-    /// Gives a shard to a node and returns the epoch.
+    /// Claims a shard for a node and returns the new epoch.
     pub(super) fn claim(&mut self, shard: ShardId, holder: &str) -> Epoch {
         let builds_on = self.fold.state().epoch(shard);
         match self.apply(&claim(shard, holder, builds_on)) {
--- a/crates/sesamecart-fold/src/tests/reader.rs
+++ b/crates/sesamecart-fold/src/tests/reader.rs
@@ -1,8 +1,8 @@
-//! Pages, gaps and checkpoints.
+//! Tests of reading pages, gaps and checkpoints.
 
 use sesamecart_vocabulary::{Offset, Revision, ShardId};
 
-use super::kit::{Feed, MemoryLog, drain, intent, intents, publish};
+use super::fixtures::{FoldDriver, MemoryLog, drain, intent, intents, publish};
 use crate::action::ACTION_HORIZON_MS;
 use crate::{CheckpointError, Fold, LogReader, Record, Standing};
 
@@ -13,11 +13,11 @@
             return standing;
         }
     }
-    panic!("the reader never came to an end");
+    panic!("the reader did not finish within 100 pages");
 }
 
-/// Fills a log with `count` configurations and a checkpoint after each of `checkpoints`.
-fn filled(count: u64, checkpoints: &[u64]) -> MemoryLog {
+/// Creates a log with `count` revisions and a checkpoint after each one that `checkpoints` lists.
+fn log_with_revisions(count: u64, checkpoints: &[u64]) -> MemoryLog {
     let mut log = MemoryLog::default();
     let mut reader = LogReader::default();
     for revision in 0..count {
@@ -31,22 +31,22 @@
 }
 
 #[test]
-fn page_by_page_gives_the_same_state_as_one_by_one() {
-    let log = filled(8, &[3]);
+fn reader_applies_all_pages_up_to_the_tail() {
+    let log = log_with_revisions(8, &[3]);
     let mut reader = LogReader::default();
     assert_eq!(read_all(&log, &mut reader), Standing::AtTail);
     assert_eq!(reader.fold().state().revision, Revision(8));
     assert_eq!(reader.fold().state().checkpoint.unwrap().offset, Offset(4));
 }
 
-/// A new node starts when the log has forgotten its first records. It must come to the same
-/// configuration as the nodes that have read them all.
+/// A new node starts after the log has removed its first records. It must reach the same state as the nodes
+/// that have read all records.
 #[test]
 fn new_node_starts_from_a_checkpoint() {
-    let mut log = filled(8, &[5]);
+    let mut log = log_with_revisions(8, &[5]);
     let mut old = LogReader::default();
     read_all(&log, &mut old);
-    log.forget_before(Offset(4));
+    log.truncate_before(Offset(4));
     let mut new = LogReader::default();
     assert_eq!(read_all(&log, &mut new), Standing::AtTail);
     let without_actions = old.fold().state().without_actions();
@@ -56,12 +56,12 @@
     assert_eq!(new.fold().state(), old.fold().state());
 }
 
-/// The log holds nothing but a checkpoint and what it covers. Whoever shows the state to others must
-/// hear that it was replaced, though no record was applied.
+/// The log contains only a checkpoint and records that it covers. The page must report that the state was
+/// replaced although no record was applied, so that the caller publishes the new state.
 #[test]
-fn page_tells_that_a_checkpoint_replaced_the_state() {
-    let mut log = filled(2, &[1]);
-    log.forget_before(Offset(2));
+fn page_reports_that_a_checkpoint_replaced_the_state() {
+    let mut log = log_with_revisions(2, &[1]);
+    log.truncate_before(Offset(2));
     let mut reader = LogReader::default();
     let read = log.read_into(&mut reader);
     assert!(read.adopted);
@@ -70,15 +70,15 @@
     assert!(!log.read_into(&mut reader).adopted);
 }
 
-/// The log is out for longer than its retention, and what comes back is a checkpoint older than
-/// what a node had in force. Taking it would revert the operators' newest change.
+/// The log is unavailable for longer than its retention and then has only a checkpoint older than a node's
+/// state. Adopting it would revert the newest configuration.
 #[test]
-fn older_checkpoint_is_never_taken() {
-    let mut log = filled(4, &[1]);
+fn older_checkpoint_is_not_adopted() {
+    let mut log = log_with_revisions(4, &[1]);
     let mut reader = LogReader::default();
     read_all(&log, &mut reader);
     assert_eq!(reader.fold().state().revision, Revision(4));
-    let Record::Checkpoint { state } = filled(2, &[]).checkpoint() else {
+    let Record::Checkpoint { state } = log_with_revisions(2, &[]).checkpoint() else {
         unreachable!();
     };
     let refused = reader.adopt(*state.clone());
@@ -93,33 +93,33 @@
             .encode(),
         );
     }
-    log.forget_before(Offset(7));
+    log.truncate_before(Offset(7));
     assert_eq!(read_all(&log, &mut reader), Standing::Stranded);
     assert_eq!(reader.fold().state().revision, Revision(4));
 }
 
-/// The holder was slow, so its checkpoint lies in the log behind records that it doesn't cover, and
-/// some of these are gone. A node that took it would miss them.
+/// A slow holder appends its checkpoint after records that the checkpoint doesn't cover, and retention has
+/// removed some of these. A node that adopted the checkpoint would miss them.
 #[test]
-fn checkpoint_that_does_not_reach_the_gap_is_not_taken() {
-    let mut log = filled(3, &[]);
+fn checkpoint_that_does_not_close_the_gap_is_not_adopted() {
+    let mut log = log_with_revisions(3, &[]);
     let slow = log.checkpoint();
     log.append(publish("p-3", 3, "ines").encode());
     log.append(slow.encode());
-    log.forget_before(Offset(4));
+    log.truncate_before(Offset(4));
     let mut reader = LogReader::default();
     assert_eq!(read_all(&log, &mut reader), Standing::Stranded);
     assert_eq!(reader.fold().state().next_offset, Offset(0));
 }
 
-/// No checkpoint is left in the log, but other nodes still hold the state. A new node must take it
-/// from them and go on reading where it ends.
+/// The log has no checkpoint left, but other nodes have the state. A new node must adopt it from a peer and
+/// continue reading where it ends.
 #[test]
 fn peer_state_ends_the_search() {
-    let mut log = filled(6, &[]);
+    let mut log = log_with_revisions(6, &[]);
     let mut peer = LogReader::default();
     read_all(&log, &mut peer);
-    log.forget_before(Offset(5));
+    log.truncate_before(Offset(5));
     let mut new = LogReader::default();
     assert_eq!(read_all(&log, &mut new), Standing::Stranded);
     log.append(publish("later", 6, "ines").encode());
@@ -129,17 +129,17 @@
 }
 
 #[test]
-fn checkpoint_ahead_of_the_log_is_refused() {
-    let mut feed = Feed::default();
-    let ahead = filled(3, &[]).checkpoint();
-    feed.apply(&ahead);
-    assert!(feed.last_audit().verdict.contains("ahead of the log"));
-    assert_eq!(feed.fold.state().revision, Revision(0));
+fn checkpoint_ahead_of_the_log_is_rejected() {
+    let mut driver = FoldDriver::default();
+    let ahead = log_with_revisions(3, &[]).checkpoint();
+    driver.apply(&ahead);
+    assert!(driver.last_audit().verdict.contains("ahead of the log"));
+    assert_eq!(driver.fold.state().revision, Revision(0));
 }
 
 #[test]
-fn checkpoint_survives_its_encoding() {
-    let log = filled(3, &[1]);
+fn checkpoint_round_trips_through_its_encoding() {
+    let log = log_with_revisions(3, &[1]);
     let mut reader = LogReader::default();
     read_all(&log, &mut reader);
     let record = reader.fold().checkpoint();
@@ -168,11 +168,11 @@
     }
 }
 
-/// A drain doesn't change the revision. A checkpoint of the same revision, made before the drain,
-/// would put the drained domain back into service.
+/// A drain doesn't change the revision. Adopting a checkpoint of the same revision from before the drain
+/// would return the drained failure domain to service.
 #[test]
-fn checkpoint_before_a_drain_is_not_taken() {
-    let mut log = filled(2, &[]);
+fn checkpoint_before_a_drain_is_not_adopted() {
+    let mut log = log_with_revisions(2, &[]);
     let early = log.checkpoint();
     log.append(drain("d-1", "failure-domain:muscat-a", true).encode());
     let mut reader = LogReader::default();
@@ -185,23 +185,23 @@
     assert_eq!(reader.fold().state().drains.len(), 1);
 }
 
-/// A node starts from a checkpoint, which holds no keyed actions. A caller may come with a key that
-/// has run before the checkpoint, so the node must say that it doesn't know until the key is
-/// forgotten everywhere.
+/// A node starts from a checkpoint, which contains no keyed actions. A caller may repeat a key whose action
+/// ran before the checkpoint, so the node must report incomplete actions until that key has expired on all
+/// nodes.
 #[test]
-fn node_from_a_checkpoint_knows_all_actions_after_the_horizon() {
-    let mut feed = Feed {
+fn node_started_from_a_checkpoint_has_all_actions_after_the_horizon() {
+    let mut driver = FoldDriver {
         now_ms: 1_000,
-        ..Feed::default()
+        ..FoldDriver::default()
     };
     let shard = ShardId(3);
-    let epoch = feed.claim(shard, "n1");
-    feed.apply(&intents(shard, epoch, "before", "a-1"));
-    let Record::Checkpoint { state } = feed.fold.checkpoint() else {
+    let epoch = driver.claim(shard, "n1");
+    driver.apply(&intents(shard, epoch, "before", "a-1"));
+    let Record::Checkpoint { state } = driver.fold.checkpoint() else {
         unreachable!();
     };
     let fold = Fold::from_checkpoint(*state);
-    let mut started = Feed {
+    let mut started = FoldDriver {
         fold,
         now_ms: 1_000,
     };
@@ -215,17 +215,17 @@
     assert!(started.fold.state().knows_actions());
 }
 
-/// A node that was away for longer than the log's retention takes a checkpoint. It must not forget
-/// the actions that it let in itself, or it would let them in again.
+/// A node that was offline for longer than the log's retention adopts a checkpoint. It must keep the actions
+/// that it admitted itself, or it would admit them again.
 #[test]
-fn node_keeps_its_own_actions_when_it_takes_a_checkpoint() {
-    let mut feed = Feed::default();
+fn node_keeps_its_actions_when_it_adopts_a_checkpoint() {
+    let mut driver = FoldDriver::default();
     let shard = ShardId(3);
-    let epoch = feed.claim(shard, "n1");
-    feed.apply(&intents(shard, epoch, "k", "a-1"));
-    let mut away = feed.fold.clone();
-    feed.apply(&publish("p-1", 0, "salma"));
-    let Record::Checkpoint { state } = feed.fold.checkpoint() else {
+    let epoch = driver.claim(shard, "n1");
+    driver.apply(&intents(shard, epoch, "k", "a-1"));
+    let mut away = driver.fold.clone();
+    driver.apply(&publish("p-1", 0, "salma"));
+    let Record::Checkpoint { state } = driver.fold.checkpoint() else {
         unreachable!();
     };
     away.adopt(*state.clone()).unwrap();
@@ -236,18 +236,18 @@
             .is_some()
     );
     assert!(!away.state().knows_actions());
-    let refused = feed.fold.adopt(*state);
+    let refused = driver.fold.adopt(*state);
     assert_eq!(refused, Err(CheckpointError::FewerActions));
 }
 
-/// A copy of the log that lags answers a read. A holder that took the end of that answer for the
-/// log's tail would renew its lease although a claim against it may be in the log.
+/// A lagging replica of the log answers a read. A holder that treated the end of that page as the log's tail
+/// would renew its lease although the log may contain a newer claim.
 #[test]
-fn answer_older_than_the_state_is_not_the_tail() {
-    let log = filled(3, &[]);
+fn page_older_than_the_state_is_not_the_tail() {
+    let log = log_with_revisions(3, &[]);
     let mut reader = LogReader::default();
     read_all(&log, &mut reader);
-    let lagging = filled(2, &[]);
+    let lagging = log_with_revisions(2, &[]);
     assert_eq!(lagging.read_into(&mut reader).standing, Standing::Ahead);
     assert_eq!(reader.fold().state().revision, Revision(3));
     assert_eq!(log.read_into(&mut reader).standing, Standing::AtTail);
--- a/crates/sesamecart-fold/src/verdict.rs
+++ b/crates/sesamecart-fold/src/verdict.rs
@@ -1,4 +1,4 @@
-//! What applying a record did.
+//! The effects of applying records, and the verdicts on changes.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
@@ -10,105 +10,105 @@
 use crate::drain::DrainTarget;
 use crate::record::DecodeError;
 
-/// What one record of the log did to the state.
+/// The effect of a record on the state.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Applied {
-    /// The record was applied before; nothing changed.
+    /// The record had already been applied; nothing changed.
     Before,
     /// Records between the state and this one are missing; nothing changed.
     Gap {
-        /// The offset that the state needs next.
+        /// The next offset that the state needs.
         expected: Offset,
     },
     /// A new configuration is in force.
     Published {
-        /// Its revision.
+        /// The revision of the configuration.
         revision: Revision,
     },
-    /// A drain began or ended.
+    /// A drain started or ended.
     Drained {
-        /// What is drained.
+        /// The target of the drain.
         target: DrainTarget,
-        /// Whether it began.
+        /// Whether the drain started.
         on: bool,
     },
-    /// A change with a publish id that was seen before; nothing changed.
+    /// The publish id had already been used; nothing changed.
     Repeated {
-        /// The id.
+        /// The publish id.
         publish_id: PublishId,
     },
-    /// A lease has a new holder.
+    /// A lease was claimed.
     Claimed {
         /// The shard.
         shard: ShardId,
         /// The new epoch.
         epoch: Epoch,
     },
-    /// A lease was given up.
+    /// A lease was released.
     Released {
         /// The shard.
         shard: ShardId,
     },
-    /// VMs joined a group.
+    /// VMs were assigned to a group.
     Assigned {
         /// The group.
         group: GroupId,
-        /// Its new generation.
+        /// The group's new generation.
         generation: Generation,
     },
-    /// A VM left a group.
+    /// A VM was removed from its group.
     Unassigned {
         /// The VM.
         vm: VmId,
     },
-    /// An order was noted.
+    /// An order was recorded.
     Ordered {
         /// The endpoint.
         endpoint: EndpointId,
     },
-    /// Intents of keyed actions were noted.
+    /// Intents of keyed actions were recorded.
     Intents {
         /// The shard that owns the keys.
         shard: ShardId,
-        /// The keys for which an earlier intent stands, so that this one must not be sent.
+        /// The keys with an earlier intent, whose actions must not be sent.
         refused: Vec<ActionKey>,
     },
-    /// Ends of keyed actions were noted.
+    /// Outcomes of keyed actions were recorded.
     Outcomes {
         /// The shard that owns the keys.
         shard: ShardId,
-        /// The keys for which this end was no news.
+        /// The keys whose outcome changed nothing.
         ignored: Vec<ActionKey>,
     },
-    /// Ends and intents of several shards were applied, with a verdict for each in their order.
+    /// Outcomes and intents of several shards were applied.
     ActionBatch {
-        /// The verdicts.
+        /// The effect of each, in the order of the record.
         verdicts: Vec<Applied>,
     },
-    /// A checkpoint was seen.
+    /// The position of a checkpoint was recorded.
     Checkpointed {
-        /// The offset that it goes up to.
+        /// The next offset of the checkpoint's state.
         covers: Offset,
     },
-    /// The record breaks a rule; nothing changed.
+    /// The record violates a rule; nothing changed.
     Rejected(Rejection),
-    /// The bytes can't be read; nothing changed. It needs an alarm.
+    /// The record can't be decoded; nothing changed. It must raise an alarm.
     Skipped(DecodeError),
 }
 
-/// The rule that a record breaks.
+/// The rule that a record violates.
 #[derive(Clone, Debug, Display, Eq, PartialEq)]
 pub enum Rejection {
-    /// Another change came first.
+    /// The change conflicts with an earlier one.
     #[display("{_0}")]
     Publish(PublishVerdict),
-    /// The shard isn't one of those that exist.
+    /// The shard does not exist.
     #[display("there is no shard {shard}")]
     NoSuchShard {
         /// The shard.
         shard: ShardId,
     },
-    /// The claim builds on another epoch than the one in force.
+    /// The claim is not based on the epoch in force.
     #[display("shard {shard}: the claim of {holder} builds on a past epoch")]
     PastEpoch {
         /// The shard.
@@ -118,7 +118,7 @@
         /// The epoch in force.
         current: Option<Epoch>,
     },
-    /// The record speaks for a lease that isn't in force.
+    /// The record belongs to a lease that is not in force.
     #[display("shard {shard}: epoch {epoch} is not in force")]
     StaleEpoch {
         /// The shard.
@@ -128,15 +128,15 @@
         /// The epoch in force.
         current: Option<Epoch>,
     },
-    /// A VM belongs to another group.
+    /// A VM is assigned to another group.
     #[display("VM {vm} belongs to group {group}")]
-    VmTaken {
+    VmInOtherGroup {
         /// The VM.
         vm: VmId,
-        /// The group that it belongs to.
+        /// The group that the VM is assigned to.
         group: GroupId,
     },
-    /// The generation isn't above the group's last one.
+    /// The generation is not greater than the group's last one.
     #[display("group {group}: generation {generation} is not above {last}")]
     PastGeneration {
         /// The group.
@@ -146,7 +146,7 @@
         /// The group's last generation.
         last: Generation,
     },
-    /// The VM doesn't belong to the group in that generation.
+    /// The VM is not assigned to the group in that generation.
     #[display("VM {vm} does not belong to group {group} in that generation")]
     NotAssigned {
         /// The VM.
@@ -154,48 +154,48 @@
         /// The group.
         group: GroupId,
     },
-    /// A newer epoch already gave the endpoint orders.
+    /// The endpoint already has an order of a newer epoch.
     #[display("endpoint {endpoint}: an order of epoch {newest} came before")]
-    OldOrder {
+    StaleOrder {
         /// The endpoint.
         endpoint: EndpointId,
-        /// The newest epoch that gave orders.
+        /// The epoch of the newest order.
         newest: Epoch,
     },
-    /// A checkpoint claims to know more than the records before it told.
+    /// A checkpoint covers more than the records before it.
     #[display("the checkpoint up to {covers} is ahead of the log")]
     CheckpointAhead {
-        /// The offset that it goes up to.
+        /// The next offset of the checkpoint's state.
         covers: Offset,
     },
 }
 
-/// What became of a change that an operator published.
+/// The verdict on a change by an operator.
 #[derive(Clone, Debug, Display, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "verdict")]
 pub enum PublishVerdict {
-    /// It is in force.
+    /// The change is in force.
     #[display("accepted as revision {revision}")]
     Accepted {
-        /// The revision that it made or, for a drain, met.
+        /// The revision that the change created or, for a drain, the one in force.
         revision: Revision,
-        /// Where it stands in the log.
+        /// The offset of the change in the log.
         offset: Offset,
     },
-    /// Another change came first.
+    /// The change conflicts with an earlier one.
     #[display(
         "conflict: made against revision {base}, but revision {revision} by {author} came first"
     )]
     Conflict {
-        /// The revision that it was made against.
+        /// The revision that the change is based on.
         base: Revision,
         /// The revision in force.
         revision: Revision,
-        /// Who published that one.
+        /// The operator that published the revision in force.
         author: String,
-        /// When, in milliseconds of wall-clock time.
+        /// When the revision in force was published, in milliseconds of wall-clock time.
         at_ms: u64,
-        /// Where the losing record stands in the log.
+        /// The offset of the rejected change in the log.
         offset: Offset,
     },
 }
