--- a/crates/sesamecart-decisions/src/admission/queue.rs
+++ b/crates/sesamecart-decisions/src/admission/queue.rs
@@ -189,13 +189,13 @@
         lane: usize,
         request: &Request,
     ) -> Option<RefusalReason> {
-        if request.start_by() < now {
+        if request.latest_start() < now {
             return Some(RefusalReason::Deadline);
         }
         let time_to_start = self
             .drain_rate
             .time_to_drain(self.cost_ahead(now, lane, request));
-        if time_to_start.is_some_and(|time_to_start| now + time_to_start > request.start_by()) {
+        if time_to_start.is_some_and(|time_to_start| now + time_to_start > request.latest_start()) {
             return Some(RefusalReason::Deadline);
         }
         (!self.make_room(lane, request)).then_some(RefusalReason::QueueFull)
@@ -233,7 +233,7 @@
 
     fn queue_key(&self, now: Timestamp, request: &Request) -> QueueKey {
         QueueKey {
-            effective_arrival: now + request.length.mul_f64(self.cfg.stretch),
+            effective_arrival: now + request.expected_duration.mul_f64(self.cfg.stretch),
             ticket: request.ticket,
         }
     }
@@ -283,7 +283,7 @@
         let key = self.queue_key(now, &request);
         let ticket = request.ticket;
         let expiry = Expiry {
-            latest_start: request.start_by(),
+            latest_start: request.latest_start(),
             ticket,
         };
         self.expiries.insert(expiry);
@@ -303,7 +303,7 @@
         let entry = self.by_ticket.swap_remove(&ticket)?;
         let request = self.lanes[entry.lane].flows[entry.flow].remove(entry.key)?;
         let expiry = Expiry {
-            latest_start: request.start_by(),
+            latest_start: request.latest_start(),
             ticket,
         };
         self.expiries.remove(&expiry);
@@ -330,7 +330,7 @@
                     flow,
                     key: *key,
                 };
-                if waiting.request.start_by() < now {
+                if waiting.request.latest_start() < now {
                     continue;
                 }
                 if fits(&waiting.request) {
--- a/crates/sesamecart-decisions/src/admission/request.rs
+++ b/crates/sesamecart-decisions/src/admission/request.rs
@@ -34,9 +34,9 @@
     /// The deadline for the start of the response.
     pub deadline: Timestamp,
     /// The expected time from the start at an endpoint to the start of the response.
-    pub expected: Duration,
+    pub expected_time_to_first_byte: Duration,
     /// The expected time from the start at an endpoint to the end of the response.
-    pub length: Duration,
+    pub expected_duration: Duration,
 }
 
 impl Ticket {
@@ -51,8 +51,8 @@
 impl Request {
     /// Returns the latest start time at which the request can meet its deadline.
     #[must_use]
-    pub fn start_by(&self) -> Timestamp {
-        self.deadline - self.expected
+    pub fn latest_start(&self) -> Timestamp {
+        self.deadline - self.expected_time_to_first_byte
     }
 }
 
--- a/crates/sesamecart-decisions/src/admission/tests.rs
+++ b/crates/sesamecart-decisions/src/admission/tests.rs
@@ -29,8 +29,8 @@
         prefix: None,
         size: Bytes(1_000),
         deadline: at(10 * SECOND),
-        expected: Duration::from_millis(100),
-        length: Duration::from_secs(1),
+        expected_time_to_first_byte: Duration::from_millis(100),
+        expected_duration: Duration::from_secs(1),
     }
 }
 
@@ -38,7 +38,7 @@
     Request {
         cost: Tokens(5_000),
         kv: Tokens(12_000),
-        length: Duration::from_secs(8),
+        expected_duration: Duration::from_secs(8),
         ..short(ticket, name)
     }
 }
--- a/crates/sesamecart-decisions/src/allowance.rs
+++ b/crates/sesamecart-decisions/src/allowance.rs
@@ -9,7 +9,7 @@
 //! - The limit starts at the cold limit and grows only while it is in use and latency is acceptable
 //!   ([`AdaptiveLimit`]). Without this, an endpoint that has just started fails under full load.
 //! - The owner lends slices that are valid for about a second. A node starts requests only under a
-//!   valid slice ([`Borrowed`]), so a partitioned node stops by itself, and the permits of a dead
+//!   valid slice ([`BorrowedPermits`]), so a partitioned node stops by itself, and the permits of a dead
 //!   node become available when they expire. A new owner lends nothing until its predecessor's
 //!   slices have expired.
 //!
@@ -24,7 +24,7 @@
 mod limit;
 mod owner;
 
-pub use borrowed::{Borrowed, Demand, Slice};
+pub use borrowed::{BorrowedPermits, Demand, Slice};
 pub use limit::{AdaptiveLimit, EndpointLimits, EndpointWork, LoadReport, Sample};
 pub use owner::Allowance;
 
--- a/crates/sesamecart-decisions/src/allowance/borrowed.rs
+++ b/crates/sesamecart-decisions/src/allowance/borrowed.rs
@@ -11,8 +11,8 @@
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Demand {
     /// When the node sent the demand, by its own clock.
-    pub asked: Timestamp,
-    /// The number of permits that the node can use. It uses no more than these from `asked` until the
+    pub sent_at: Timestamp,
+    /// The number of permits that the node can use. It uses no more than these from `sent_at` until the
     /// answer arrives.
     pub wanted: Permits,
     /// The permits of the node's requests that run at the endpoint.
@@ -32,7 +32,7 @@
 
 /// A node's slice of one endpoint's allowance and the requests that run under it.
 #[derive(Clone, Debug, Default)]
-pub struct Borrowed {
+pub struct BorrowedPermits {
     permits: Permits,
     valid_until: Timestamp,
     kv_per_permit: Tokens,
@@ -49,7 +49,7 @@
     liveness_timeout: Duration,
 }
 
-impl Borrowed {
+impl BorrowedPermits {
     /// Creates the state of an endpoint without a slice. `kv_per_permit` is the KV memory per permit;
     /// zero if memory is not limited.
     #[must_use]
@@ -188,7 +188,7 @@
         let wanted = self.peak_in_flight.max(in_flight) + waiting;
         self.permits = self.permits.min(wanted);
         let demand = Demand {
-            asked: now,
+            sent_at: now,
             wanted,
             in_flight,
             sample: std::mem::take(&mut self.sample),
@@ -197,38 +197,38 @@
         demand
     }
 
-    /// Applies the owner's answer to the demand that was sent at `asked`.
+    /// Applies the owner's answer to the demand that was sent at `sent_at`.
     ///
     /// The validity starts when the demand was sent, so that a slow answer can't extend a slice
     /// beyond the time for which the owner counts it. Answers to any but the last demand are
     /// ignored, since each demand returns the permits that it doesn't want. So are answers to
     /// demands from before a failure.
-    pub fn apply_slice(&mut self, asked: Timestamp, slice: Slice) {
-        if self.demand_sent_at != Some(asked) {
+    pub fn apply_slice(&mut self, sent_at: Timestamp, slice: Slice) {
+        if self.demand_sent_at != Some(sent_at) {
             return;
         }
         self.demand_sent_at = None;
         if self
             .invalidated_at
-            .is_some_and(|invalidated| asked < invalidated)
+            .is_some_and(|invalidated| sent_at < invalidated)
         {
             return;
         }
         self.invalidated_at = None;
         self.permits = slice.permits;
-        self.valid_until = asked + slice.valid_for;
+        self.valid_until = sent_at + slice.valid_for;
     }
 
     /// Returns whether a demand may be sent: none is in flight, or the last one has timed out.
     #[must_use]
     pub fn may_send_demand(&self, now: Timestamp, cfg: &AllowanceSettings) -> bool {
         self.demand_sent_at
-            .is_none_or(|asked| now >= asked + cfg.borrow_timeout())
+            .is_none_or(|sent_at| now >= sent_at + cfg.borrow_timeout())
     }
 
     /// Returns whether the slice is due for renewal.
     #[must_use]
     pub fn needs_renewal(&self, now: Timestamp, cfg: &AllowanceSettings) -> bool {
-        now + cfg.slice() >= self.valid_until + cfg.renew_interval()
+        now + cfg.slice_duration() >= self.valid_until + cfg.renew_interval()
     }
 }
--- a/crates/sesamecart-decisions/src/allowance/limit.rs
+++ b/crates/sesamecart-decisions/src/allowance/limit.rs
@@ -25,7 +25,7 @@
     /// The capacity of its KV memory; zero if memory is not limited.
     pub kv_tokens: Tokens,
     /// The kind of the endpoint.
-    pub work: EndpointWork,
+    pub kind: EndpointWork,
 }
 
 impl EndpointLimits {
@@ -44,8 +44,8 @@
     /// The number of requests that failed.
     pub failed: u32,
     /// The sum of the inter-token times, or of a plain service's request latencies.
-    pub latency: Duration,
-    /// The number of tokens, or of a plain service's requests, in the sum `latency`.
+    pub latency_sum: Duration,
+    /// The number of tokens, or of a plain service's requests, in the sum `latency_sum`.
     pub tokens: Tokens,
 }
 
@@ -54,13 +54,13 @@
     pub fn add(&mut self, other: &Self) {
         self.finished += other.finished;
         self.failed += other.failed;
-        self.latency += other.latency;
+        self.latency_sum += other.latency_sum;
         self.tokens += other.tokens;
     }
 
     fn mean_latency(&self) -> Option<f64> {
         let tokens = self.tokens.0;
-        (tokens > 0).then(|| self.latency.as_secs_f64() / tokens as f64)
+        (tokens > 0).then(|| self.latency_sum.as_secs_f64() / tokens as f64)
     }
 }
 
@@ -134,12 +134,12 @@
 
     /// Returns the configured limits.
     #[must_use]
-    pub const fn configured(&self) -> EndpointLimits {
+    pub const fn configured_limits(&self) -> EndpointLimits {
         self.limits
     }
 
     /// Sets new configured limits and keeps the adapted state.
-    pub fn set_configured(&mut self, limits: EndpointLimits) {
+    pub fn set_configured_limits(&mut self, limits: EndpointLimits) {
         self.limits = limits;
         self.value = self.value.min(f64::from(limits.warm.0));
     }
@@ -150,11 +150,11 @@
     }
 
     /// Drops to the cold limit, because the endpoint has restarted or behaves as if it had.
-    pub fn turn_cold(&mut self, now: Timestamp) {
+    pub fn reset_to_cold(&mut self, now: Timestamp) {
         self.value = self.value.min(f64::from(self.limits.cold.0));
         self.sample_sum = Sample::default();
         self.next_step = now + self.cfg.step_interval();
-        self.ignore_samples_until = now + self.cfg.slice();
+        self.ignore_samples_until = now + self.cfg.slice_duration();
     }
 
     /// Applies a load report of the endpoint.
@@ -165,7 +165,7 @@
             .is_some_and(|known| known != report.incarnation);
         self.incarnation = Some(report.incarnation);
         if is_restarted {
-            self.turn_cold(now);
+            self.reset_to_cold(now);
         }
     }
 
@@ -206,7 +206,7 @@
         self.recent_failures += failed;
         self.suspect_until = now + self.cfg.suspect_duration();
         if self.recent_failures >= MIN_FAILURES_FOR_COLD {
-            self.turn_cold(now);
+            self.reset_to_cold(now);
         }
     }
 
@@ -226,7 +226,7 @@
         self.min_latency = Some(min_latency);
         let acceptable = self.acceptable_latency(min_latency);
         if latency > self.cfg.cold_latency * acceptable {
-            self.turn_cold(now);
+            self.reset_to_cold(now);
             self.shrink();
         } else if latency > acceptable {
             self.shrink();
@@ -236,7 +236,7 @@
     }
 
     fn acceptable_latency(&self, min_latency: f64) -> f64 {
-        let always_acceptable_ms = match self.limits.work {
+        let always_acceptable_ms = match self.limits.kind {
             EndpointWork::Engine => self.cfg.token_gap_ms,
             EndpointWork::Service => self.cfg.service_latency_ms,
         };
--- a/crates/sesamecart-decisions/src/allowance/owner.rs
+++ b/crates/sesamecart-decisions/src/allowance/owner.rs
@@ -58,7 +58,7 @@
 
     /// Applies a node's demand, which also limits the permits that the node uses from now on.
     fn apply_demand(&mut self, demand: &Demand) {
-        self.asked = demand.asked;
+        self.asked = demand.sent_at;
         self.in_flight = demand.in_flight;
         self.wanted = demand.wanted;
         let used = demand.wanted.max(demand.in_flight);
@@ -117,7 +117,7 @@
         self.limit.report(now, report);
         self.reported_load = ReportedLoad {
             permits: Permits(report.running.0),
-            valid_until: now + self.cfg.slice(),
+            valid_until: now + self.cfg.slice_duration(),
         };
     }
 
@@ -139,11 +139,11 @@
         let is_outdated = self
             .nodes
             .get(node)
-            .is_some_and(|grants| demand.asked < grants.asked);
+            .is_some_and(|grants| demand.sent_at < grants.asked);
         if is_outdated {
             return Slice {
                 permits: Permits(0),
-                valid_for: self.cfg.slice(),
+                valid_for: self.cfg.slice_duration(),
             };
         }
         self.limit.observe(now, &demand.sample);
@@ -154,7 +154,7 @@
         grants.remove_expired(now, &self.cfg);
         grants.apply_demand(demand);
         let permits = self.permits_for(now, &grants);
-        let valid_until = now + self.cfg.slice();
+        let valid_until = now + self.cfg.slice_duration();
         grants.push(Grant {
             permits,
             valid_until,
@@ -164,7 +164,7 @@
         self.nodes.insert(node.clone(), grants);
         Slice {
             permits,
-            valid_for: self.cfg.slice(),
+            valid_for: self.cfg.slice_duration(),
         }
     }
 
--- a/crates/sesamecart-decisions/src/allowance/tests.rs
+++ b/crates/sesamecart-decisions/src/allowance/tests.rs
@@ -11,7 +11,7 @@
     cold: Concurrency(4),
     warm: Concurrency(32),
     kv_tokens: Tokens(64_000),
-    work: EndpointWork::Engine,
+    kind: EndpointWork::Engine,
 };
 
 fn at(millis: u64) -> Timestamp {
@@ -34,7 +34,7 @@
         wanted: Permits(in_flight),
         in_flight: Permits(in_flight),
         sample: Sample {
-            latency: Duration::from_millis(millis * 100),
+            latency_sum: Duration::from_millis(millis * 100),
             tokens: Tokens(100),
             ..Sample::default()
         },
@@ -53,8 +53,8 @@
 const START_MS: u64 = 10_000;
 
 /// A node's permits for an endpoint with 2,000 tokens of KV memory per permit.
-fn borrowed() -> Borrowed {
-    Borrowed::new(LIMITS.kv_per_permit(), &AllowanceSettings::default())
+fn borrowed() -> BorrowedPermits {
+    BorrowedPermits::new(LIMITS.kv_per_permit(), &AllowanceSettings::default())
 }
 
 macro_rules! fits {
@@ -112,7 +112,7 @@
     let cfg = AllowanceSettings::default();
     let mut allowance = warm_allowance();
     allowance.borrow(at(START_MS), &node(0), &demand(32));
-    let soon = at(START_MS) + cfg.slice();
+    let soon = at(START_MS) + cfg.slice_duration();
     assert_eq!(
         allowance.borrow(soon, &node(1), &demand(32)).permits,
         Permits(0)
@@ -330,12 +330,12 @@
 fn outdated_demand_is_ignored() {
     let mut allowance = warm_allowance();
     let later = Demand {
-        asked: at(20),
+        sent_at: at(20),
         ..demand(8)
     };
     allowance.borrow(at(START_MS), &node(0), &later);
     let earlier = Demand {
-        asked: at(10),
+        sent_at: at(10),
         ..demand(0)
     };
     let slice = allowance.borrow(at(START_MS), &node(0), &earlier);
@@ -367,7 +367,7 @@
     let mut borrowed = borrowed();
     let slice = Slice {
         permits: Permits(5),
-        valid_for: cfg.slice(),
+        valid_for: cfg.slice_duration(),
     };
     borrowed.demand(at(0), Permits(0));
     borrowed.apply_slice(at(0), slice);
--- a/crates/sesamecart-decisions/src/allowance/tests/lending.rs
+++ b/crates/sesamecart-decisions/src/allowance/tests/lending.rs
@@ -6,7 +6,7 @@
 use sesamecart_vocabulary::{Permits, Timestamp, Tokens};
 
 use super::{LIMITS, START_MS, at, borrowed, node, warm_allowance};
-use crate::allowance::{Allowance, Borrowed, Demand, Slice};
+use crate::allowance::{Allowance, BorrowedPermits, Demand, Slice};
 use crate::settings::AllowanceSettings;
 
 /// Messages are lost, delayed and reordered, and nodes pause and continue. The permits in use must
@@ -51,7 +51,7 @@
     cfg: AllowanceSettings,
     now: Timestamp,
     allowance: Allowance,
-    nodes: [Borrowed; 3],
+    nodes: [BorrowedPermits; 3],
     running: [Vec<Tokens>; 3],
     demands: Vec<SentDemand>,
     answers: Vec<Answer>,
@@ -71,7 +71,7 @@
     }
 
     fn in_flight(&self) -> Permits {
-        self.nodes.iter().map(Borrowed::in_flight).sum()
+        self.nodes.iter().map(BorrowedPermits::in_flight).sum()
     }
 
     fn kv(&self) -> Tokens {
--- a/crates/sesamecart-decisions/src/pool.rs
+++ b/crates/sesamecart-decisions/src/pool.rs
@@ -19,7 +19,7 @@
 
 /// A node's id and failure domain, and the nodes that it shares pools with.
 #[derive(Clone, Debug)]
-pub struct NodePlace {
+pub struct NodeTopology {
     /// The node's id.
     pub node: NodeId,
     /// The node's failure domain.
@@ -30,7 +30,7 @@
 
 /// A request to start now.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Start {
+pub struct StartedRequest {
     /// The ticket of the request.
     pub ticket: Ticket,
     /// The index of its endpoint in [`Pool::endpoints`].
@@ -43,7 +43,7 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Placement {
     /// The request starts.
-    Run(Start),
+    Run(StartedRequest),
     /// The request waits; [`Pool::poll`] returns the decision later.
     Wait,
     /// The request is refused without having run.
@@ -78,7 +78,7 @@
     /// Creates a pool whose random choices are determined by `seed`.
     #[must_use]
     pub fn new(
-        place: &NodePlace,
+        place: &NodeTopology,
         endpoints: impl IntoIterator<Item = PoolEndpoint>,
         cfg: DecisionSettings,
         seed: u64,
@@ -100,7 +100,7 @@
     }
 
     /// Sets the KV memory of the largest request that any endpoint of the pool can hold when idle.
-    pub const fn set_largest(&mut self, largest: Tokens) {
+    pub const fn set_max_request_kv(&mut self, largest: Tokens) {
         self.admission.set_max_request_kv(largest);
     }
 
@@ -112,7 +112,7 @@
 
     /// Returns the index of an endpoint, if this node uses it.
     #[must_use]
-    pub fn find(&self, id: &EndpointId) -> Option<usize> {
+    pub fn endpoint_index(&self, id: &EndpointId) -> Option<usize> {
         self.endpoints()
             .iter()
             .position(|endpoint| endpoint.id == *id)
@@ -158,7 +158,7 @@
 
     /// Decides about a request whose attempt failed and for which [`Pool::fail`] returned
     /// [`RetryDecision::Retry`].
-    pub fn offer_again(&mut self, now: Timestamp, request: Request) -> Placement {
+    pub fn offer_retry(&mut self, now: Timestamp, request: Request) -> Placement {
         self.decide(now, request)
     }
 
@@ -198,7 +198,7 @@
     }
 
     /// Ends a running request whose caller has disconnected.
-    pub fn abandon(&mut self, endpoint: usize, kv: Tokens) {
+    pub fn cancel_running(&mut self, endpoint: usize, kv: Tokens) {
         self.router.endpoints_mut()[endpoint].borrowed.cancel(kv);
     }
 
@@ -208,7 +208,7 @@
         let borrowed = &mut self.router.endpoints_mut()[endpoint].borrowed;
         borrowed.observe(now, sample);
         if sample.tokens.0 > 0 {
-            let latency = sample.latency.as_secs_f64() / sample.tokens.0 as f64;
+            let latency = sample.latency_sum.as_secs_f64() / sample.tokens.0 as f64;
             self.router
                 .outliers_mut()
                 .record_success(now, endpoint, latency);
@@ -216,7 +216,7 @@
     }
 
     /// Records that an endpoint is alive, for example when the first token of a response arrives.
-    pub fn alive(&mut self, now: Timestamp, endpoint: usize) {
+    pub fn record_alive(&mut self, now: Timestamp, endpoint: usize) {
         self.router.endpoints_mut()[endpoint]
             .borrowed
             .record_alive(now);
@@ -240,7 +240,7 @@
     /// requests for additional permits at most once per [`AllowanceSettings::min_borrow_interval`].
     ///
     /// [`AllowanceSettings::min_borrow_interval`]: crate::settings::AllowanceSettings::min_borrow_interval
-    pub fn demands(&mut self, now: Timestamp) -> Vec<EndpointDemand> {
+    pub fn due_demands(&mut self, now: Timestamp) -> Vec<EndpointDemand> {
         let may_borrow = self.admission.waiting() > 0 && now >= self.next_borrow;
         if may_borrow {
             self.next_borrow = now + self.cfg.allowance.min_borrow_interval();
@@ -267,11 +267,11 @@
         demands
     }
 
-    /// Applies an owner's answer to the demand that was sent at `asked`.
-    pub fn lend(&mut self, asked: Timestamp, endpoint: usize, slice: Slice) {
+    /// Applies an owner's answer to the demand that was sent at `sent_at`.
+    pub fn apply_slice(&mut self, sent_at: Timestamp, endpoint: usize, slice: Slice) {
         self.router.endpoints_mut()[endpoint]
             .borrowed
-            .apply_slice(asked, slice);
+            .apply_slice(sent_at, slice);
     }
 
     /// Returns how many permits to request from each endpoint for waiting requests, in addition to
@@ -361,10 +361,10 @@
         now: Timestamp,
         ticket: Ticket,
         route_request: RouteRequest,
-    ) -> Option<Start> {
+    ) -> Option<StartedRequest> {
         let route = self.router.choose(now, route_request)?;
         let started = self.router.start(now, route.endpoint, &route_request);
-        started.then_some(Start {
+        started.then_some(StartedRequest {
             ticket,
             endpoint: route.endpoint,
             reason: route.reason,
--- a/crates/sesamecart-decisions/src/pool/tests.rs
+++ b/crates/sesamecart-decisions/src/pool/tests.rs
@@ -4,8 +4,8 @@
 
 use super::*;
 use crate::admission::RefusalReason;
-use crate::allowance::Borrowed;
-use crate::retry::Progress;
+use crate::allowance::BorrowedPermits;
+use crate::retry::AttemptProgress;
 
 const ENDPOINTS: usize = 4;
 const PERMITS: u32 = 5;
@@ -15,17 +15,17 @@
 }
 
 /// The permits of an endpoint that counts as alive.
-fn live_borrowed() -> Borrowed {
+fn live_borrowed() -> BorrowedPermits {
     let mut cfg = DecisionSettings::default();
     cfg.allowance.sign_ms = 60_000;
-    let mut borrowed = Borrowed::new(Tokens(2_000), &cfg.allowance);
+    let mut borrowed = BorrowedPermits::new(Tokens(2_000), &cfg.allowance);
     borrowed.finish(at(0), Tokens(0));
     borrowed
 }
 
 /// A pool at a node that holds five permits for each of four endpoints.
 fn pool() -> Pool {
-    let place = NodePlace {
+    let place = NodeTopology {
         node: "node-1".parse().unwrap(),
         domain: "a".parse().unwrap(),
         nodes: vec!["node-1".parse().unwrap()],
@@ -41,13 +41,13 @@
 
 /// Answers the demands that are due at `now` with [`PERMITS`] for each endpoint.
 fn lend(pool: &mut Pool, now: Timestamp) {
-    pool.demands(now);
+    pool.due_demands(now);
     let slice = Slice {
         permits: Permits(PERMITS),
         valid_for: Duration::from_secs(1),
     };
     for endpoint in 0..ENDPOINTS {
-        pool.lend(now, endpoint, slice);
+        pool.apply_slice(now, endpoint, slice);
     }
 }
 
@@ -62,8 +62,8 @@
         prefix: None,
         size: Bytes(1_000),
         deadline: now + Duration::from_secs(2),
-        expected: Duration::from_millis(500),
-        length: Duration::from_secs(1),
+        expected_time_to_first_byte: Duration::from_millis(500),
+        expected_duration: Duration::from_secs(1),
     }
 }
 
@@ -79,7 +79,7 @@
 }
 
 impl Outcome {
-    fn record(&mut self, placement: Placement) -> Option<Start> {
+    fn record(&mut self, placement: Placement) -> Option<StartedRequest> {
         match placement {
             Placement::Run(start) => {
                 self.started.push(start.ticket);
@@ -143,8 +143,8 @@
     let placement = pool.offer(at(1_000), interactive(at(1_000), 1));
     assert_eq!(placement, Placement::Wait);
     let asked = at(1_010);
-    assert_eq!(pool.demands(asked).len(), ENDPOINTS);
-    assert_eq!(pool.demands(asked).len(), 0, "demands are in flight");
+    assert_eq!(pool.due_demands(asked).len(), ENDPOINTS);
+    assert_eq!(pool.due_demands(asked).len(), 0, "demands are in flight");
     lend(&mut pool, asked);
     assert!(matches!(pool.poll(at(1_020))[..], [Placement::Run(_)]));
 }
@@ -197,10 +197,10 @@
     let first = outcome.record(pool.offer(at(10), interactive(at(10), 0)));
     let failed = first.unwrap().endpoint;
     let attempt = FailedAttempt {
-        progress: Progress::Sent,
+        progress: AttemptProgress::Sent,
         idempotent: true,
         attempts: 1,
-        start_by: at(1_500),
+        latest_start: at(1_500),
     };
     let decision = pool.fail(at(20), failed, Tokens(500), attempt);
     assert_eq!(decision, RetryDecision::Retry);
--- a/crates/sesamecart-decisions/src/retry.rs
+++ b/crates/sesamecart-decisions/src/retry.rs
@@ -18,7 +18,7 @@
 
 /// How far an attempt had progressed when it failed.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
-pub enum Progress {
+pub enum AttemptProgress {
     /// No byte of the request left the node, or the endpoint reported that it did not run the request.
     #[display("not run")]
     NotRun,
@@ -34,13 +34,13 @@
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct FailedAttempt {
     /// How far it had progressed.
-    pub progress: Progress,
+    pub progress: AttemptProgress,
     /// Whether the request is safe to run twice.
     pub idempotent: bool,
     /// The number of attempts so far, including this one.
     pub attempts: u32,
     /// The latest start that still meets the deadline.
-    pub start_by: Timestamp,
+    pub latest_start: Timestamp,
 }
 
 /// The decision about a failed attempt.
@@ -83,9 +83,9 @@
     /// Decides whether to retry a failed attempt, and deducts a retry from the budget if so.
     pub fn decide(&mut self, now: Timestamp, attempt: FailedAttempt) -> RetryDecision {
         let is_safe = match attempt.progress {
-            Progress::NotRun => true,
-            Progress::Sent => attempt.idempotent,
-            Progress::Answering => false,
+            AttemptProgress::NotRun => true,
+            AttemptProgress::Sent => attempt.idempotent,
+            AttemptProgress::Answering => false,
         };
         if !is_safe {
             return RetryDecision::MayHaveRun;
@@ -93,7 +93,7 @@
         if attempt.attempts >= self.cfg.max_attempts {
             return RetryDecision::TooManyAttempts;
         }
-        if now > attempt.start_by {
+        if now > attempt.latest_start {
             return RetryDecision::TooLate;
         }
         if self.available < 1.0 {
--- a/crates/sesamecart-decisions/src/retry/tests.rs
+++ b/crates/sesamecart-decisions/src/retry/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
 
 const SENT: FailedAttempt = FailedAttempt {
-    progress: Progress::Sent,
+    progress: AttemptProgress::Sent,
     idempotent: true,
     attempts: 1,
-    start_by: Timestamp::from_millis(100),
+    latest_start: Timestamp::from_millis(100),
 };
 
 macro_rules! decides {
@@ -22,10 +22,10 @@
     idempotent_request_is_retried: SENT => Retry;
     sent_non_idempotent_request_is_not_retried: FailedAttempt { idempotent: false, ..SENT } => MayHaveRun;
     unsent_non_idempotent_request_is_retried:
-        FailedAttempt { idempotent: false, progress: Progress::NotRun, ..SENT } => Retry;
-    started_response_is_not_retried: FailedAttempt { progress: Progress::Answering, ..SENT } => MayHaveRun;
+        FailedAttempt { idempotent: false, progress: AttemptProgress::NotRun, ..SENT } => Retry;
+    started_response_is_not_retried: FailedAttempt { progress: AttemptProgress::Answering, ..SENT } => MayHaveRun;
     attempts_are_limited: FailedAttempt { attempts: 3, ..SENT } => TooManyAttempts;
-    request_past_its_latest_start_is_not_retried: FailedAttempt { start_by: Timestamp::from_millis(49), ..SENT } => TooLate;
+    request_past_its_latest_start_is_not_retried: FailedAttempt { latest_start: Timestamp::from_millis(49), ..SENT } => TooLate;
 }
 
 /// Every attempt fails because the whole pool does. Without a budget the endpoints would get three
--- a/crates/sesamecart-decisions/src/routing/router.rs
+++ b/crates/sesamecart-decisions/src/routing/router.rs
@@ -4,7 +4,7 @@
 
 use super::outlier::Outliers;
 use super::prefix::{PrefixHash, PrefixHints};
-use crate::allowance::Borrowed;
+use crate::allowance::BorrowedPermits;
 use crate::settings::RoutingSettings;
 
 /// Whether an endpoint receives new requests.
@@ -26,7 +26,7 @@
     /// Whether the endpoint receives new requests.
     pub state: EndpointState,
     /// The permits that the node has borrowed for the endpoint.
-    pub borrowed: Borrowed,
+    pub borrowed: BorrowedPermits,
     is_local: bool,
     hash: u64,
 }
@@ -34,7 +34,7 @@
 impl PoolEndpoint {
     /// Creates an active endpoint with its borrowed permits.
     #[must_use]
-    pub fn new(id: EndpointId, domain: FailureDomainId, borrowed: Borrowed) -> Self {
+    pub fn new(id: EndpointId, domain: FailureDomainId, borrowed: BorrowedPermits) -> Self {
         Self {
             hash: stable_hash(id.as_str()),
             id,
@@ -188,12 +188,12 @@
     }
 
     /// Records that an endpoint caches a prefix.
-    pub fn cached(&mut self, prefix: PrefixHash, endpoint: usize) {
+    pub fn record_cached(&mut self, prefix: PrefixHash, endpoint: usize) {
         self.hints.insert(prefix, endpoint);
     }
 
     /// Records that an endpoint no longer caches a prefix.
-    pub fn evicted(&mut self, prefix: PrefixHash, endpoint: usize) {
+    pub fn record_evicted(&mut self, prefix: PrefixHash, endpoint: usize) {
         self.hints.remove(prefix, endpoint);
     }
 
--- a/crates/sesamecart-decisions/src/routing/tests.rs
+++ b/crates/sesamecart-decisions/src/routing/tests.rs
@@ -4,7 +4,7 @@
 use sesamecart_vocabulary::{EndpointId, FailureDomainId, NodeId, Permits, Timestamp, Tokens};
 
 use super::*;
-use crate::allowance::{Borrowed, Slice};
+use crate::allowance::{BorrowedPermits, Slice};
 use crate::settings::{AllowanceSettings, RoutingSettings};
 
 const NOW: Timestamp = Timestamp::from_millis(100);
@@ -25,9 +25,9 @@
 }
 
 /// The permits of an endpoint that counts as alive.
-fn live_borrowed() -> Borrowed {
+fn live_borrowed() -> BorrowedPermits {
     let cfg = AllowanceSettings::default();
-    let mut borrowed = Borrowed::new(Tokens(2_000), &cfg);
+    let mut borrowed = BorrowedPermits::new(Tokens(2_000), &cfg);
     borrowed.finish(NOW, Tokens(0));
     borrowed
 }
@@ -174,7 +174,7 @@
 #[test]
 fn request_is_routed_with_and_without_a_hint() {
     let mut router = router(10);
-    router.cached(PrefixHash(7), 3);
+    router.record_cached(PrefixHash(7), 3);
     let hinted = router.choose(NOW, request_with_prefix(1)).unwrap();
     assert_eq!(
         hinted,
@@ -183,7 +183,7 @@
             reason: RouteReason::CachedPrefix
         }
     );
-    router.evicted(PrefixHash(7), 3);
+    router.record_evicted(PrefixHash(7), 3);
     let unhinted = router.choose(NOW, request_with_prefix(1)).unwrap();
     assert_eq!(unhinted.reason, RouteReason::PrefixHome);
 }
--- a/crates/sesamecart-decisions/src/settings.rs
+++ b/crates/sesamecart-decisions/src/settings.rs
@@ -225,7 +225,7 @@
 impl AllowanceSettings {
     /// Returns how long a slice is valid.
     #[must_use]
-    pub const fn slice(&self) -> Duration {
+    pub const fn slice_duration(&self) -> Duration {
         Duration::from_millis(self.slice_ms)
     }
 
@@ -274,7 +274,7 @@
     /// Returns how long a new owner waits until its predecessor's slices have expired.
     #[must_use]
     pub fn takeover_wait(&self) -> Duration {
-        self.slice().mul_f64(1.0 + self.drift)
+        self.slice_duration().mul_f64(1.0 + self.drift)
     }
 }
 
--- a/crates/sesamecart-measure/src/policy/ours.rs
+++ b/crates/sesamecart-measure/src/policy/ours.rs
@@ -6,7 +6,7 @@
 
 use sesamecart_decisions::admission::{Request, Ticket};
 use sesamecart_decisions::allowance::{Allowance, LoadReport, Sample, Slice};
-use sesamecart_decisions::pool::{EndpointDemand, NodePlace, Pool};
+use sesamecart_decisions::pool::{EndpointDemand, NodeTopology, Pool};
 use sesamecart_decisions::retry::{FailedAttempt, RetryDecision};
 use sesamecart_decisions::routing::EndpointState;
 use sesamecart_decisions::settings::DecisionSettings;
@@ -55,7 +55,7 @@
         let name = |node| format!("node-{node}").parse().expect("a valid name");
         let names: Vec<NodeId> = (0..size.nodes).map(name).collect();
         let nodes = names.iter().enumerate().map(|(node, id)| {
-            let place = NodePlace {
+            let place = NodeTopology {
                 node: id.clone(),
                 domain: domain(node),
                 nodes: names.clone(),
@@ -98,7 +98,7 @@
         let placement = if first {
             pool.pool.offer(now, request)
         } else {
-            pool.pool.offer_again(now, request)
+            pool.pool.offer_retry(now, request)
         };
         pool.decision(number, placement)
     }
@@ -125,8 +125,8 @@
             prefix: (!job.is_action()).then_some(job.prefix),
             size: Bytes(4 * job.prompt),
             deadline,
-            expected,
-            length: begin + rest,
+            expected_time_to_first_byte: expected,
+            expected_duration: begin + rest,
         }
     }
 
@@ -149,7 +149,7 @@
             Sample::default()
         } else {
             Sample {
-                latency: took,
+                latency_sum: took,
                 tokens: Tokens(1),
                 ..Sample::default()
             }
@@ -164,14 +164,14 @@
         now: Timestamp,
         endpoint: usize,
         job: &Job,
-        progress: sesamecart_decisions::retry::Progress,
+        progress: sesamecart_decisions::retry::AttemptProgress,
     ) -> RetryDecision {
         let request = self.request(0, job);
         let attempt = FailedAttempt {
             progress,
             idempotent: !job.is_action(),
             attempts: job.attempts,
-            start_by: request.start_by(),
+            latest_start: request.latest_start(),
         };
         let pool = self.pool(job.node, !job.is_action());
         let place = pool.places[&endpoint];
@@ -187,7 +187,7 @@
         };
         let pool = self.pool(job.node, !job.is_action());
         match endpoint {
-            Some(endpoint) => pool.pool.abandon(pool.places[&endpoint], kv),
+            Some(endpoint) => pool.pool.cancel_running(pool.places[&endpoint], kv),
             None => {
                 pool.pool.cancel(Ticket(number as u64));
             }
@@ -229,7 +229,7 @@
         let mut demands = Vec::new();
         for engine in [true, false] {
             let pool = self.pool(node, engine);
-            for mut demand in pool.pool.demands(now) {
+            for mut demand in pool.pool.due_demands(now) {
                 demand.endpoint = pool.numbers[demand.endpoint];
                 demands.push(demand);
             }
@@ -261,7 +261,8 @@
         for (endpoint, slice) in &lend.slices {
             let engine = *endpoint < self.engines;
             let pool = self.pool(lend.node, engine);
-            pool.pool.lend(lend.asked, pool.places[endpoint], *slice);
+            pool.pool
+                .apply_slice(lend.asked, pool.places[endpoint], *slice);
         }
     }
 
@@ -284,7 +285,7 @@
         }
         // At the drain already, so that the owner knows it at the return whenever nodes hear of
         // that.
-        self.owners[endpoint].limit_mut().turn_cold(now);
+        self.owners[endpoint].limit_mut().reset_to_cold(now);
     }
 
     /// Tells a node of its engines' cache events, of which some are lost.
@@ -299,9 +300,9 @@
             let router = pool.pool.router_mut();
             for event in events[*number].iter().filter(|_| !is_lost()) {
                 if event.stored {
-                    router.cached(event.prefix, place);
+                    router.record_cached(event.prefix, place);
                 } else {
-                    router.evicted(event.prefix, place);
+                    router.record_evicted(event.prefix, place);
                 }
             }
         }
@@ -310,7 +311,7 @@
 
 fn tokens_seen(gap: f64, tokens: u64) -> Sample {
     Sample {
-        latency: Duration::from_secs_f64(gap * tokens as f64),
+        latency_sum: Duration::from_secs_f64(gap * tokens as f64),
         tokens: Tokens(tokens),
         ..Sample::default()
     }
--- a/crates/sesamecart-measure/src/policy/ours/node_pool.rs
+++ b/crates/sesamecart-measure/src/policy/ours/node_pool.rs
@@ -1,8 +1,8 @@
 //! One pool at one node, with the numbers that the run gives to endpoints.
 
 use indexmap::IndexMap;
-use sesamecart_decisions::allowance::{Borrowed, EndpointLimits, EndpointWork};
-use sesamecart_decisions::pool::{NodePlace, Placement, Pool};
+use sesamecart_decisions::allowance::{BorrowedPermits, EndpointLimits, EndpointWork};
+use sesamecart_decisions::pool::{NodeTopology, Placement, Pool};
 use sesamecart_decisions::routing::PoolEndpoint;
 use sesamecart_decisions::settings::DecisionSettings;
 use sesamecart_vocabulary::{Concurrency, Timestamp, Tokens};
@@ -21,7 +21,7 @@
 
 impl NodePool {
     pub(super) fn new(
-        place: &NodePlace,
+        place: &NodeTopology,
         size: &Size,
         range: std::ops::Range<usize>,
         cfg: DecisionSettings,
@@ -34,12 +34,12 @@
         };
         let endpoints = range.clone().map(|endpoint| {
             let kv = limits(size, endpoint).kv_per_permit();
-            let books = Borrowed::new(kv, &cfg.allowance);
+            let books = BorrowedPermits::new(kv, &cfg.allowance);
             PoolEndpoint::new(name(endpoint), domain(endpoint), books)
         });
         let mut pool = Pool::new(place, endpoints, cfg, seed);
         if size.is_engine(range.start) {
-            pool.set_largest(Tokens(KV_TOKENS));
+            pool.set_max_request_kv(Tokens(KV_TOKENS));
         }
         let number = |known: &PoolEndpoint| {
             let number = known.id.as_str().rsplit('-').next();
@@ -91,13 +91,13 @@
             cold: Concurrency(COLD),
             warm: Concurrency(WARM),
             kv_tokens: Tokens(KV_TOKENS),
-            work: EndpointWork::Engine,
+            kind: EndpointWork::Engine,
         };
     }
     EndpointLimits {
         cold: Concurrency(SERVICE_COLD),
         warm: Concurrency(SERVICE_WARM),
         kv_tokens: Tokens(0),
-        work: EndpointWork::Service,
+        kind: EndpointWork::Service,
     }
 }
--- a/crates/sesamecart-measure/src/policy/run.rs
+++ b/crates/sesamecart-measure/src/policy/run.rs
@@ -8,7 +8,7 @@
 
 use fastrand::Rng;
 use sesamecart_decisions::allowance::LoadReport;
-use sesamecart_decisions::retry::{Progress, RetryDecision};
+use sesamecart_decisions::retry::{AttemptProgress, RetryDecision};
 use sesamecart_decisions::settings::DecisionSettings;
 use sesamecart_vocabulary::{Concurrency, Timestamp};
 
@@ -247,11 +247,11 @@
         self.started[number] = now;
         match self.endpoints[endpoint].receive(now, number, &self.jobs) {
             Received::Taken => self.schedule(endpoint),
-            Received::Down => self.fail(now, number, Progress::NotRun),
+            Received::Down => self.fail(now, number, AttemptProgress::NotRun),
             Received::FellOver => {
                 let lost = self.endpoints[endpoint].fall_over(now);
                 self.lose(now, &lost);
-                self.fail(now, number, Progress::Sent);
+                self.fail(now, number, AttemptProgress::Sent);
             }
         }
     }
@@ -320,12 +320,12 @@
 
     fn lose(&mut self, now: Timestamp, lost: &[usize]) {
         for number in lost {
-            self.fail(now, *number, Progress::Sent);
+            self.fail(now, *number, AttemptProgress::Sent);
         }
     }
 
     /// Ends an attempt that failed; an answer that had begun is resumed where it broke.
-    fn fail(&mut self, now: Timestamp, number: usize, progress: Progress) {
+    fn fail(&mut self, now: Timestamp, number: usize, progress: AttemptProgress) {
         let Some(endpoint) = self.take_off(number) else {
             return;
         };
@@ -340,7 +340,7 @@
             System::Ours(ours) => ours.failed(now, endpoint, job, progress) == RetryDecision::Retry,
             System::Baseline(baseline) => {
                 baseline.ended(now, job.node, endpoint, true);
-                let may = progress == Progress::NotRun || !job.is_action();
+                let may = progress == AttemptProgress::NotRun || !job.is_action();
                 may && job.attempts < BASELINE_ATTEMPTS
             }
         };
--- a/crates/sesamecart-measure/src/policy/speed.rs
+++ b/crates/sesamecart-measure/src/policy/speed.rs
@@ -3,8 +3,8 @@
 use std::time::{Duration, Instant};
 
 use sesamecart_decisions::admission::{Request, Ticket};
-use sesamecart_decisions::allowance::{Borrowed, Sample, Slice};
-use sesamecart_decisions::pool::{NodePlace, Placement, Pool};
+use sesamecart_decisions::allowance::{BorrowedPermits, Sample, Slice};
+use sesamecart_decisions::pool::{NodeTopology, Placement, Pool};
 use sesamecart_decisions::routing::{PoolEndpoint, PrefixHash};
 use sesamecart_decisions::settings::DecisionSettings;
 use sesamecart_vocabulary::{Bytes, CustomerId, Permits, RequestClass, Timestamp, Tokens, Weight};
@@ -36,7 +36,7 @@
     let mut cfg = DecisionSettings::default();
     cfg.routing.max_subset = max_subset;
     let name = |node| format!("node-{node}").parse().expect("a valid name");
-    let place = NodePlace {
+    let place = NodeTopology {
         node: "node-0".parse().expect("a valid name"),
         domain: "domain-0".parse().expect("a valid name"),
         nodes: (0..nodes).map(name).collect(),
@@ -46,7 +46,7 @@
         let domain = format!("domain-{}", index % 3)
             .parse()
             .expect("a valid name");
-        let books = Borrowed::new(Tokens(2_000), &cfg.allowance);
+        let books = BorrowedPermits::new(Tokens(2_000), &cfg.allowance);
         PoolEndpoint::new(id, domain, books)
     });
     let mut pool = Pool::new(&place, endpoints, cfg, 1);
@@ -87,8 +87,8 @@
         permits: Permits(4),
         valid_for: Duration::from_secs(1),
     };
-    for demand in pool.demands(now) {
-        pool.lend(now, demand.endpoint, slice);
+    for demand in pool.due_demands(now) {
+        pool.apply_slice(now, demand.endpoint, slice);
     }
 }
 
@@ -103,7 +103,7 @@
         prefix: Some(PrefixHash(number % 500)),
         size: Bytes(2_000),
         deadline: Timestamp::from_millis(1_000_000),
-        expected: Duration::from_millis(300),
-        length: Duration::from_secs(3),
+        expected_time_to_first_byte: Duration::from_millis(300),
+        expected_duration: Duration::from_secs(3),
     }
 }
--- a/crates/sesamecart-measure/src/roles/allowance.rs
+++ b/crates/sesamecart-measure/src/roles/allowance.rs
@@ -24,14 +24,14 @@
         cold: Concurrency(4),
         warm: Concurrency(64),
         kv_tokens: Tokens(400_000),
-        work: EndpointWork::Engine,
+        kind: EndpointWork::Engine,
     };
     let mut allowance = Allowance::new(Timestamp::ZERO, limits, AllowanceSettings::default());
     let nodes: Vec<NodeId> = (0..nodes)
         .map(|index| format!("node-{index}").parse().expect("a name"))
         .collect();
     let mut demand = Demand {
-        asked: Timestamp::ZERO,
+        sent_at: Timestamp::ZERO,
         wanted: Permits(2),
         in_flight: Permits(1),
         sample: Sample::default(),
@@ -41,7 +41,7 @@
     move || {
         now = now + Duration::from_millis(1);
         next = (next + 1) % nodes.len();
-        demand.asked = now;
+        demand.sent_at = now;
         black_box(allowance.borrow(now, &nodes[next], &demand));
     }
 }
--- a/crates/sesamecart-node/src/pools/borrower.rs
+++ b/crates/sesamecart-node/src/pools/borrower.rs
@@ -91,7 +91,7 @@
             let mut inner = cell.lock();
             inner.settle(now);
             let mut by_owner: IndexMap<NodeId, Vec<EndpointDemand>> = IndexMap::new();
-            for wanted in inner.pool.demands(now) {
+            for wanted in inner.pool.due_demands(now) {
                 let id = inner.pool.endpoints()[wanted.endpoint].id.clone();
                 let owner = self.owners.of(&id, now);
                 by_owner
@@ -143,9 +143,11 @@
         let mut inner = errand.cell.lock();
         for slice in reply.slices {
             let id = slice.endpoint.parse::<EndpointId>().ok();
-            let endpoint = id.and_then(|id| inner.pool.find(&id));
+            let endpoint = id.and_then(|id| inner.pool.endpoint_index(&id));
             if let (Some(endpoint), None) = (endpoint, &slice.owner) {
-                inner.pool.lend(errand.asked, endpoint, read_slice(&slice));
+                inner
+                    .pool
+                    .apply_slice(errand.asked, endpoint, read_slice(&slice));
             }
         }
         inner.settle(self.pools.now());
@@ -154,7 +156,7 @@
 
 fn message(id: &EndpointId, wanted: &Wanted) -> EndpointDemand {
     let demand = &wanted.demand;
-    let micros = u64::try_from(demand.sample.latency.as_micros()).unwrap_or(u64::MAX);
+    let micros = u64::try_from(demand.sample.latency_sum.as_micros()).unwrap_or(u64::MAX);
     EndpointDemand {
         endpoint: id.to_string(),
         wanted: demand.wanted.0,
--- a/crates/sesamecart-node/src/pools/cell.rs
+++ b/crates/sesamecart-node/src/pools/cell.rs
@@ -6,8 +6,8 @@
 use indexmap::{IndexMap, IndexSet};
 use sesamecart_config::{Customer, Endpoint, EndpointKind};
 use sesamecart_decisions::admission::{Refusal, Ticket};
-use sesamecart_decisions::allowance::{Borrowed, EndpointLimits, EndpointWork};
-use sesamecart_decisions::pool::{NodePlace, Placement, Pool, Start};
+use sesamecart_decisions::allowance::{BorrowedPermits, EndpointLimits, EndpointWork};
+use sesamecart_decisions::pool::{NodeTopology, Placement, Pool, StartedRequest};
 use sesamecart_decisions::routing::{EndpointState, PoolEndpoint};
 use sesamecart_decisions::settings::DecisionSettings;
 use sesamecart_vocabulary::{
@@ -62,7 +62,7 @@
 
 /// Returns what configuration says that an endpoint bears, as decisions take it.
 pub(super) fn limits_of(endpoint: &Endpoint) -> EndpointLimits {
-    let work = match endpoint.kind {
+    let kind = match endpoint.kind {
         EndpointKind::Group(_) => EndpointWork::Engine,
         EndpointKind::Service(_) => EndpointWork::Service,
     };
@@ -70,14 +70,14 @@
         cold: endpoint.limits.cold,
         warm: endpoint.limits.warm,
         kv_tokens: endpoint.limits.kv_tokens,
-        work,
+        kind,
     }
 }
 
 /// What a waiting request is told.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Verdict {
-    Start(Start),
+    Start(StartedRequest),
     Refuse(Refusal),
 }
 
@@ -105,21 +105,21 @@
     pub(super) fn new(
         key: &PoolKey,
         snapshot: &Snapshot,
-        place: &NodePlace,
+        place: &NodeTopology,
         remake: u64,
         cfg: DecisionSettings,
     ) -> Arc<Self> {
         let members = key.members(snapshot);
         let endpoints = members.iter().map(|(id, endpoint)| {
             let kv = limits_of(endpoint).kv_per_permit();
-            let books = Borrowed::new(kv, &cfg.allowance);
+            let books = BorrowedPermits::new(kv, &cfg.allowance);
             PoolEndpoint::new((*id).clone(), endpoint.failure_domain.clone(), books)
         });
         let hash = stable_hash(&format!("{key:?}"));
         let borrower = format!("{}/{hash:x}/{remake}", place.node);
         let mut pool = Pool::new(place, endpoints, cfg, hash ^ remake);
         if let Some(largest) = largest(&members) {
-            pool.set_largest(largest);
+            pool.set_max_request_kv(largest);
         }
         let cell = Self {
             borrower: borrower.parse().unwrap_or_else(|_| place.node.clone()),
@@ -193,7 +193,7 @@
         }
     }
 
-    fn start(&mut self, _now: Timestamp, start: Start) {
+    fn start(&mut self, _now: Timestamp, start: StartedRequest) {
         // A waiter that leaves takes its ticket out under the same lock, so each start has one.
         if let Some(waiter) = self.waiters.swap_remove(&start.ticket) {
             self.turns += 1;
--- a/crates/sesamecart-node/src/pools/lender.rs
+++ b/crates/sesamecart-node/src/pools/lender.rs
@@ -69,7 +69,7 @@
         let now = self.shared.clock.now();
         let owners = self.owners.version(now);
         let mut books = self.books();
-        let paused = now - books.looked_at > self.cfg.slice();
+        let paused = now - books.looked_at > self.cfg.slice_duration();
         if paused {
             books.allowances.clear();
         }
@@ -96,13 +96,13 @@
                 takes_work,
             });
             let limit = owned.allowance.limit_mut();
-            if limit.configured() != limits {
-                limit.set_configured(limits);
+            if limit.configured_limits() != limits {
+                limit.set_configured_limits(limits);
             }
             // It is cold when it comes back. Nodes hear of that at different times, so it counts as
             // cold from the drain on, and again from the return, as its last work may have warmed it.
             if owned.takes_work != takes_work {
-                limit.turn_cold(now);
+                limit.reset_to_cold(now);
             }
             owned.takes_work = takes_work;
         }
@@ -204,13 +204,13 @@
 
 fn read_demand(asked: Timestamp, wanted: &EndpointDemand) -> Demand {
     Demand {
-        asked,
+        sent_at: asked,
         wanted: Permits(wanted.wanted),
         in_flight: Permits(wanted.in_flight),
         sample: Sample {
             finished: wanted.finished,
             failed: wanted.failed,
-            latency: Duration::from_micros(wanted.latency_sum_us),
+            latency_sum: Duration::from_micros(wanted.latency_sum_us),
             tokens: Tokens(wanted.tokens),
         },
     }
--- a/crates/sesamecart-node/src/pools/registry.rs
+++ b/crates/sesamecart-node/src/pools/registry.rs
@@ -9,7 +9,7 @@
 use indexmap::IndexMap;
 use sesamecart_config::Settings;
 use sesamecart_decisions::admission::{RefusalReason, Request, Ticket};
-use sesamecart_decisions::pool::{NodePlace, Placement, Start};
+use sesamecart_decisions::pool::{NodeTopology, Placement, StartedRequest};
 use sesamecart_decisions::routing::EndpointState;
 use sesamecart_decisions::settings::DecisionSettings;
 use sesamecart_runtime::{Clock, sleep};
@@ -36,7 +36,7 @@
 pub(crate) struct Pools {
     cfg: DecisionSettings,
     clock: Clock,
-    place: Mutex<NodePlace>,
+    place: Mutex<NodeTopology>,
     tickets: AtomicU64,
     remakes: AtomicU64,
     cells: Mutex<Cells>,
@@ -54,7 +54,7 @@
 impl Pools {
     pub(crate) fn new(settings: &Settings, clock: Clock) -> Arc<Self> {
         let (wake, woken) = async_channel::bounded(1);
-        let place = NodePlace {
+        let place = NodeTopology {
             node: settings.node.clone(),
             domain: settings.failure_domain.clone(),
             nodes: vec![settings.node.clone()],
@@ -168,7 +168,7 @@
                 ..entry.request
             };
             let placement = if entry.again {
-                inner.pool.offer_again(now, request)
+                inner.pool.offer_retry(now, request)
             } else {
                 inner.pool.offer(now, request)
             };
@@ -195,7 +195,7 @@
         ticket: Ticket,
         kv: sesamecart_vocabulary::Tokens,
         told: Receiver<Verdict>,
-    ) -> Result<Start, Refusal> {
+    ) -> Result<StartedRequest, Refusal> {
         self.wake();
         let mut waiting = Waiting {
             pools: self,
--- a/crates/sesamecart-node/src/pools/turn.rs
+++ b/crates/sesamecart-node/src/pools/turn.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use sesamecart_decisions::allowance::Sample;
-use sesamecart_decisions::pool::Start;
-use sesamecart_decisions::retry::{FailedAttempt, Progress, RetryDecision};
+use sesamecart_decisions::pool::StartedRequest;
+use sesamecart_decisions::retry::{AttemptProgress, FailedAttempt, RetryDecision};
 use sesamecart_vocabulary::{EndpointId, Timestamp, Tokens};
 
 use super::cell::PoolCell;
@@ -16,7 +16,7 @@
 pub(crate) struct Turn {
     pools: Arc<Pools>,
     cell: Arc<PoolCell>,
-    start: Start,
+    start: StartedRequest,
     kv: Tokens,
     begun: Timestamp,
     last_token: Option<Timestamp>,
@@ -33,7 +33,12 @@
 const NOTE_EVERY: Duration = Duration::from_millis(100);
 
 impl Turn {
-    pub(super) fn new(pools: Arc<Pools>, cell: Arc<PoolCell>, start: Start, kv: Tokens) -> Self {
+    pub(super) fn new(
+        pools: Arc<Pools>,
+        cell: Arc<PoolCell>,
+        start: StartedRequest,
+        kv: Tokens,
+    ) -> Self {
         Self {
             begun: pools.now(),
             pools,
@@ -61,7 +66,7 @@
         let now = self.pools.now();
         // The first token's time is the prompt's and says nothing about the time between tokens.
         if let Some(last) = self.last_token.replace(now) {
-            self.seen.latency += now - last;
+            self.seen.latency_sum += now - last;
             self.seen.tokens += Tokens(count);
         }
         if now - self.noted < NOTE_EVERY {
@@ -70,7 +75,7 @@
         self.noted = now;
         let seen = std::mem::take(&mut self.seen);
         let mut inner = self.cell.lock();
-        inner.pool.alive(now, self.start.endpoint);
+        inner.pool.record_alive(now, self.start.endpoint);
         inner.pool.observe(now, self.start.endpoint, &seen);
     }
 
@@ -85,7 +90,7 @@
     pub(crate) fn finish_service(&mut self) {
         let took: Duration = self.pools.now() - self.begun;
         self.finish(&Sample {
-            latency: took,
+            latency_sum: took,
             tokens: Tokens(1),
             ..Sample::default()
         });
@@ -108,10 +113,10 @@
             return;
         }
         let attempt = FailedAttempt {
-            progress: Progress::Answering,
+            progress: AttemptProgress::Answering,
             idempotent: true,
             attempts: 1,
-            start_by: self.begun,
+            latest_start: self.begun,
         };
         let _never_again = self.fail(attempt);
     }
@@ -140,7 +145,7 @@
         let now = self.pools.now();
         let mut inner = self.cell.lock();
         inner.turns -= 1;
-        inner.pool.abandon(self.start.endpoint, self.kv);
+        inner.pool.cancel_running(self.start.endpoint, self.kv);
         inner.settle(now);
     }
 }
--- a/crates/sesamecart-node/src/traffic/completion.rs
+++ b/crates/sesamecart-node/src/traffic/completion.rs
@@ -7,7 +7,7 @@
 use http::{HeaderValue, Method};
 use sesamecart_config::Customer;
 use sesamecart_decisions::admission::Request;
-use sesamecart_decisions::retry::{FailedAttempt, Progress, RetryDecision};
+use sesamecart_decisions::retry::{AttemptProgress, FailedAttempt, RetryDecision};
 use sesamecart_edges::{Exchange, RESUME_AT, Reuse};
 use sesamecart_vocabulary::{
     AttemptId, CustomerId, EndpointId, ModelId, RequestClass, RequestId, Timestamp,
@@ -117,16 +117,18 @@
                     });
                 }
                 Err(AttemptError::NotRun(reason)) => {
-                    (Progress::NotRun, Refusal::NotReached(reason))
+                    (AttemptProgress::NotRun, Refusal::NotReached(reason))
+                }
+                Err(AttemptError::Unknown(reason)) => {
+                    (AttemptProgress::Sent, Refusal::NoAnswer(reason))
                 }
-                Err(AttemptError::Unknown(reason)) => (Progress::Sent, Refusal::NoAnswer(reason)),
             };
             log::info!("traffic: {} failed at {endpoint}: {refusal}.", self.id);
             let decision = turn.fail(FailedAttempt {
                 progress,
                 idempotent: true,
                 attempts: attempts.in_a_row,
-                start_by: request.start_by(),
+                latest_start: request.latest_start(),
             });
             if !matches!(failed, Some(Refusal::NoAnswer(_))) {
                 failed = Some(refusal);
--- a/crates/sesamecart-node/src/traffic/keyed.rs
+++ b/crates/sesamecart-node/src/traffic/keyed.rs
@@ -9,7 +9,7 @@
 use http::{HeaderMap, HeaderValue, Method, Response, StatusCode};
 use sesamecart_actions::{Answer, Asking, Decision, RefusalReason};
 use sesamecart_config::Service;
-use sesamecart_decisions::retry::{FailedAttempt, Progress, RetryDecision};
+use sesamecart_decisions::retry::{AttemptProgress, FailedAttempt, RetryDecision};
 use sesamecart_edges::{CallerBody, IDEMPOTENCY_KEY, OUTCOME, REPLAYED, Reuse, read_whole, whole};
 use sesamecart_fold::{ActionEnd, ActionKey, EncodedBody, Header};
 use sesamecart_vocabulary::{
@@ -261,10 +261,10 @@
             attempts += 1;
             let endpoint = turn.endpoint();
             let mut failing = FailedAttempt {
-                progress: Progress::NotRun,
+                progress: AttemptProgress::NotRun,
                 idempotent: false,
                 attempts,
-                start_by: request.start_by(),
+                latest_start: request.latest_start(),
             };
             match self.offer(handler, &endpoint, attempt, epoch).await {
                 Ok(answer) => {
@@ -282,7 +282,7 @@
                     }
                 }
                 Err(AttemptError::Unknown(reason)) => {
-                    failing.progress = Progress::Sent;
+                    failing.progress = AttemptProgress::Sent;
                     turn.fail(failing);
                     log::warn!("traffic: {} may have run at {endpoint}: {reason}.", self.id);
                     return self.settle_try(handler, attempt, reason).await;
--- a/crates/sesamecart-node/src/traffic/service.rs
+++ b/crates/sesamecart-node/src/traffic/service.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use http::header::CONTENT_TYPE;
 use http::{HeaderValue, Method, Response};
-use sesamecart_decisions::retry::{FailedAttempt, Progress, RetryDecision};
+use sesamecart_decisions::retry::{AttemptProgress, FailedAttempt, RetryDecision};
 use sesamecart_edges::{CallerBody, OUTCOME, Reuse, read_whole, whole};
 use sesamecart_vocabulary::{EndpointId, RequestClass, RequestId, ServiceId, Timestamp};
 
@@ -78,26 +78,26 @@
             };
             attempts += 1;
             let endpoint = turn.endpoint();
-            let (progress, refusal) = match self
-                .attempt(handler, &endpoint, class, idempotent)
-                .await
-            {
-                Ok(response) => {
-                    turn.finish_service();
-                    return Ok(response);
-                }
-                Err(AttemptError::NotRun(reason)) => {
-                    (Progress::NotRun, Refusal::NotReached(reason))
-                }
-                Err(AttemptError::Unknown(reason)) => (Progress::Sent, Refusal::NoAnswer(reason)),
-            };
+            let (progress, refusal) =
+                match self.attempt(handler, &endpoint, class, idempotent).await {
+                    Ok(response) => {
+                        turn.finish_service();
+                        return Ok(response);
+                    }
+                    Err(AttemptError::NotRun(reason)) => {
+                        (AttemptProgress::NotRun, Refusal::NotReached(reason))
+                    }
+                    Err(AttemptError::Unknown(reason)) => {
+                        (AttemptProgress::Sent, Refusal::NoAnswer(reason))
+                    }
+                };
             let (id, customer) = (self.id, self.caller.id);
             log::warn!("traffic: {id} of {customer} failed at {endpoint}: {refusal}.");
             let decision = turn.fail(FailedAttempt {
                 progress,
                 idempotent,
                 attempts,
-                start_by: request.start_by(),
+                latest_start: request.latest_start(),
             });
             if !matches!(failed, Some(Refusal::NoAnswer(_))) {
                 failed = Some(refusal);
--- a/crates/sesamecart-node/src/traffic/weigh.rs
+++ b/crates/sesamecart-node/src/traffic/weigh.rs
@@ -73,8 +73,8 @@
         prefix: Some(PrefixHash(stable_hash(&head))),
         size: Size(body.len() as u64),
         deadline: patience.deadline(class),
-        expected,
-        length: expected + Duration::from_micros(answer.saturating_mul(ANSWER_TOKEN_US)),
+        expected_time_to_first_byte: expected,
+        expected_duration: expected + Duration::from_micros(answer.saturating_mul(ANSWER_TOKEN_US)),
     }
 }
 
@@ -95,7 +95,7 @@
         prefix: None,
         size: Size(body.len() as u64),
         deadline: patience.deadline(class),
-        expected: BEGIN,
-        length: BEGIN,
+        expected_time_to_first_byte: BEGIN,
+        expected_duration: BEGIN,
     }
 }
