--- a/crates/sesamecart-administration/src/authority.rs
+++ b/crates/sesamecart-administration/src/authority.rs
@@ -1,38 +1,38 @@
-//! Who a request comes from, and whether it may do what it asks.
+//! Authentication of operators by bearer token, and authorization by role.
 
 use derive_more::Display;
 use sesamecart_config::{AdministrationAccess, Operator, Role};
 use sesamecart_vocabulary::KeyHash;
 
-/// The longest token that is looked at, in bytes.
+/// Maximum length of a bearer token. A longer one is treated as unknown without being hashed.
 const MAX_TOKEN_BYTES: usize = 512;
 
-/// Why a request is denied.
+/// The reason why a request is denied.
 #[derive(Clone, Debug, Display, Eq, PartialEq)]
 pub enum Denial {
     /// The token is missing or unknown.
     #[display("the bearer token is missing or not known; set SESAMECART_TOKEN")]
     Unauthenticated,
-    /// The operator's role may not do this.
+    /// The operator's role is too low for the operation.
     #[display("{operator} has the role {has}, but this needs the role {needs}")]
     Role {
         /// The operator's name.
         operator: String,
-        /// The role that it has.
+        /// The operator's role.
         has: Role,
-        /// The role that it would need.
+        /// The lowest role that is allowed to perform the operation.
         needs: Role,
     },
 }
 
-/// Decides who may do what, from the settings.
+/// Authenticates and authorizes requests against the operators in the settings.
 #[derive(Clone, Debug)]
 pub struct Authority {
     operators: Vec<Operator>,
 }
 
 impl Authority {
-    /// Takes the operators from the settings.
+    /// Creates an authority with the operators of the settings.
     #[must_use]
     pub fn new(access: &AdministrationAccess) -> Self {
         Self {
@@ -40,14 +40,14 @@
         }
     }
 
-    /// Finds the operator of an `Authorization` header and checks the role.
+    /// Returns the operator that an `Authorization` header identifies, after checking the role.
     ///
-    /// Every operator's hash is compared, each without telling by the time taken where it differs.
-    /// An attacker who measures answers would otherwise learn which tokens come close.
+    /// The hash is compared with that of every operator, each time in constant time. Otherwise an
+    /// attacker could learn from response times which tokens nearly match.
     ///
     /// # Errors
     ///
-    /// Returns a denial for an unknown token or a role that is too low.
+    /// Returns a denial if the token is missing or unknown, or if the operator's role is too low.
     pub fn admit(&self, header: Option<&str>, needs: Role) -> Result<&Operator, Denial> {
         let token = header.and_then(bearer_token);
         let token = token.filter(|token| token.len() <= MAX_TOKEN_BYTES);
--- a/crates/sesamecart-administration/src/lib.rs
+++ b/crates/sesamecart-administration/src/lib.rs
@@ -1,7 +1,7 @@
-//! The administration API: its messages, its routes, and who may do what.
+//! The administration API: its messages and routes, and the authorization of operators.
 //!
-//! The node answers it and the command line is its client. docs/openapi.json describes it for
-//! others; docs/operators.md shows it at work.
+//! Each node serves the API, and the command line is a client of it. docs/openapi.json describes
+//! the API for other clients; docs/operators.md shows how operators use it.
 
 mod authority;
 mod message;
--- a/crates/sesamecart-administration/src/message.rs
+++ b/crates/sesamecart-administration/src/message.rs
@@ -1,4 +1,4 @@
-//! The API's messages, as JSON.
+//! Request and response bodies of the API, serialized as JSON.
 
 use derive_more::Display;
 use http::StatusCode;
@@ -10,76 +10,77 @@
     Revision, ShardId, VmId,
 };
 
-/// Asks to put a configuration in force.
+/// A request to publish a configuration.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PublishRequest {
-    /// The publisher's own name for this change. A request that is sent again with the same name
-    /// counts once.
+    /// An id for this change, chosen by the publisher. Repeated requests with the same id take
+    /// effect once.
     pub publish_id: PublishId,
-    /// The revision that the configuration was made against.
+    /// The revision that the configuration is based on.
     pub base_revision: Revision,
-    /// Whether it may take most of the capacity away at once.
+    /// Whether the configuration is allowed to remove most of the capacity at once.
     #[serde(default)]
     pub allow_capacity_drop: bool,
     /// The whole configuration.
     pub configuration: Configuration,
 }
 
-/// Asks what publishing a configuration would do.
+/// A request to validate a configuration without publishing it.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CheckRequest {
-    /// Whether it may take most of the capacity away at once.
+    /// Whether the configuration is allowed to remove most of the capacity at once.
     #[serde(default)]
     pub allow_capacity_drop: bool,
     /// The whole configuration.
     pub configuration: Configuration,
 }
 
-/// What publishing would do.
+/// The result of validating a configuration.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct CheckReply {
     /// The revision in force.
     pub revision: Revision,
-    /// What is wrong; it may be published if there is nothing.
+    /// Problems of the configuration. It can be published if there are none.
     pub problems: Vec<ProblemReport>,
-    /// What would change.
+    /// Changes that publishing the configuration would make.
     pub changes: Vec<Change>,
 }
 
-/// Asks to begin or end a drain.
+/// A request to begin or end a drain.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DrainRequest {
-    /// The operator's own name for this change; see [`PublishRequest::publish_id`].
+    /// An id for this change, chosen by the operator; see [`PublishRequest::publish_id`].
     pub publish_id: PublishId,
-    /// What is drained.
+    /// The target of the drain.
     pub target: DrainTarget,
-    /// Whether the drain begins or ends.
+    /// Whether the drain begins (`true`) or ends (`false`).
     pub on: bool,
 }
 
-/// What became of a change.
+/// The response to a change request.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct ChangeReply {
-    /// The change's name.
+    /// The id of the change.
     pub publish_id: PublishId,
-    /// What became of it.
+    /// The outcome of the change.
     pub outcome: ChangeOutcome,
 }
 
-/// What became of a change.
+/// The outcome of a change.
 #[derive(Clone, Debug, Display, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ChangeOutcome {
-    /// The log took it, and this is its verdict on every node.
+    /// The change is in the log; every node reaches this verdict.
     #[display("{_0}")]
     Decided(PublishVerdict),
-    /// The log is out. The drain is in force for a limited time and will be written to the log.
+    /// The log is unavailable. The drain is in force for a limited time and will be written to the
+    /// log.
     #[display("provisional for {} s: the log is out", expires_in_ms / 1_000)]
     Provisional {
-        /// How long it is in force without the log, in milliseconds.
+        /// Time until the drain expires unless it reaches the log, in milliseconds.
         expires_in_ms: u64,
     },
 }
@@ -87,81 +88,81 @@
 /// The configuration in force.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct ConfigurationReply {
-    /// Its revision.
+    /// The revision of the configuration.
     pub revision: Revision,
-    /// Who published it.
+    /// The operator who published the configuration.
     pub author: String,
-    /// When, in milliseconds of wall-clock time.
+    /// Wall-clock time of publication, in milliseconds.
     pub published_at_ms: u64,
-    /// The configuration, as far as the operator's teams may see it.
+    /// The part of the configuration that is visible to the operator's teams.
     pub configuration: Configuration,
 }
 
-/// How the nodes are.
+/// The state of the nodes and the drains in force.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct StatusReply {
-    /// The node that answers.
+    /// The node that sent this response.
     pub node: NodeId,
-    /// The revision that it has in force.
+    /// The revision in force on this node.
     pub revision: Revision,
-    /// Whether the log answers this node.
+    /// Whether the log responds to this node.
     pub log_answers: bool,
-    /// All nodes that this one knows, itself included.
+    /// All nodes known to this node, including itself.
     pub nodes: Vec<NodeReply>,
     /// The drains in force.
     pub drains: Vec<DrainReply>,
 }
 
-/// One node.
+/// The state of one node.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct NodeReply {
-    /// Its name.
+    /// The node's id.
     pub node: NodeId,
-    /// The failure domain that it lies in.
+    /// The failure domain of the node.
     pub failure_domain: FailureDomainId,
-    /// How it is.
+    /// Whether the node is reachable.
     pub state: NodeState,
-    /// The revision that it has in force, if it answers.
+    /// The revision in force on the node, if it is reachable.
     pub revision: Option<Revision>,
-    /// The offset up to which it has read the log, if it answers.
+    /// The offset of the next log record that the node will read, if it is reachable.
     pub next_offset: Option<Offset>,
 }
 
-/// How a node is, as the answering node sees it.
+/// The state of a node, as observed by the responding node.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq, Serialize, Deserialize)]
 #[display(rename_all = "snake_case")]
 #[serde(rename_all = "snake_case")]
 pub enum NodeState {
-    /// It answers.
+    /// The node responds.
     Reachable,
-    /// It doesn't answer.
+    /// The node does not respond.
     Unreachable,
 }
 
-/// One drain.
+/// A drain in force.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct DrainReply {
-    /// What is drained.
+    /// The target of the drain.
     pub target: DrainTarget,
-    /// Who ordered it.
+    /// The operator who began the drain.
     pub author: String,
-    /// When, in milliseconds of wall-clock time.
+    /// Wall-clock time at which the drain began, in milliseconds.
     pub at_ms: u64,
-    /// Whether the log has it or it is provisional.
+    /// Whether the drain is in the log or provisional.
     pub state: DrainState,
 }
 
-/// How firm a drain is.
+/// Whether a drain is in the log or provisional.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DrainState {
-    /// The log has it.
+    /// The drain is in the log.
     #[display("in the log")]
     Logged,
-    /// The log is out; it expires unless the log confirms it.
+    /// The log is unavailable; the drain expires unless the log confirms it.
     #[display("provisional, {} s left", remaining_ms / 1_000)]
     Provisional {
-        /// How long it is in force without the log, in milliseconds.
+        /// Time until the drain expires unless it reaches the log, in milliseconds.
         remaining_ms: u64,
     },
 }
@@ -173,101 +174,101 @@
     pub groups: Vec<GroupReply>,
 }
 
-/// One serving group.
+/// A serving group.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct GroupReply {
-    /// Its name.
+    /// The group's id.
     pub group: GroupId,
-    /// The model that it should serve.
+    /// The model that the group is configured to serve.
     pub model: ModelId,
-    /// The VMs that it should have.
+    /// The VMs that the configuration gives to the group.
     pub configured_vms: Vec<VmId>,
-    /// The VMs that it has by the log.
+    /// The VMs that are assigned to the group according to the log.
     pub assigned_vms: Vec<VmId>,
-    /// Its newest generation.
+    /// The newest generation of the group.
     pub generation: Option<Generation>,
-    /// Its endpoint.
+    /// The endpoint of the group.
     pub endpoint: Option<EndpointId>,
-    /// Whether operators have taken it out of service.
+    /// Whether an operator has drained the group.
     pub drained: bool,
 }
 
-/// The leases.
+/// The leases of the shards.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct LeasesReply {
     /// The newest accepted claim of each shard.
     pub leases: Vec<LeaseReply>,
 }
 
-/// One lease.
+/// The lease of a shard.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct LeaseReply {
     /// The shard.
     pub shard: ShardId,
-    /// The node that claimed it last.
+    /// The node with the newest accepted claim.
     pub holder: NodeId,
-    /// The fencing number.
+    /// The epoch of the lease, used as the fencing token.
     pub epoch: Epoch,
-    /// The nodes that may extend it while the log is out.
+    /// The nodes that can vote to extend the lease while the log is unavailable.
     pub voters: Vec<NodeId>,
-    /// Whether the holder gave it up.
+    /// Whether the holder has released the lease.
     pub released: bool,
 }
 
-/// The newest lines of the audit trail.
+/// The newest entries of the audit trail.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
 pub struct AuditReply {
-    /// The offset up to which the answering node has read the log.
+    /// The offset of the next log record that the responding node will read.
     pub next_offset: Offset,
-    /// The lines, the oldest first.
+    /// The entries, oldest first.
     pub entries: Vec<AuditEntry>,
 }
 
-/// Why a request failed.
+/// The response to a failed request.
 #[derive(Clone, Debug, Display, Eq, PartialEq, Serialize, Deserialize)]
 #[display("{message}")]
 pub struct ErrorReply {
-    /// What kind of failure it is.
+    /// The kind of error.
     pub code: ErrorCode,
-    /// What happened and what to do, in words.
+    /// A description of the error and of what to do about it.
     pub message: String,
-    /// What is wrong with a configuration.
+    /// Problems of the configuration, if it is invalid.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub problems: Vec<ProblemReport>,
-    /// Who was faster, after a conflict.
+    /// After a conflict, the verdict that names the change that came first.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub conflict: Option<PublishVerdict>,
 }
 
-/// The kinds of failures.
+/// The kinds of errors.
 #[derive(Clone, Copy, Debug, Display, Eq, Hash, PartialEq, Serialize, Deserialize)]
 #[display(rename_all = "snake_case")]
 #[serde(rename_all = "snake_case")]
 pub enum ErrorCode {
-    /// The request can't be read.
+    /// The request can't be parsed.
     BadRequest,
     /// The token is missing or unknown.
     Unauthenticated,
-    /// The operator may not do this.
+    /// The operator is not allowed to perform the operation.
     Forbidden,
-    /// There is nothing at this path, or no such change.
+    /// The path or the change does not exist.
     NotFound,
-    /// The path doesn't take this method.
+    /// The path does not support the method.
     MethodNotAllowed,
-    /// Another change came first.
+    /// Another change was accepted first.
     Conflict,
-    /// The configuration has problems.
+    /// The configuration is invalid.
     Invalid,
-    /// Too many requests.
+    /// The operator exceeded its request rate.
     RateLimited,
-    /// The log is out, or the node isn't ready.
+    /// The log is unavailable, or the node isn't ready.
     Unavailable,
-    /// Nobody knows yet whether the change took effect.
+    /// It is not yet known whether the change took effect.
     Undecided,
 }
 
 impl ErrorCode {
-    /// All kinds.
+    /// All error codes.
     pub const ALL: [Self; 10] = [
         Self::BadRequest,
         Self::Unauthenticated,
@@ -281,7 +282,7 @@
         Self::Undecided,
     ];
 
-    /// Returns the HTTP status that goes with it.
+    /// Returns the HTTP status code of the error.
     #[must_use]
     pub const fn status(self) -> StatusCode {
         match self {
@@ -300,7 +301,7 @@
 }
 
 impl ErrorReply {
-    /// Makes a failure with only a text.
+    /// Creates an error without problems or a conflict.
     #[must_use]
     pub fn new(code: ErrorCode, message: impl Into<String>) -> Self {
         Self {
--- a/crates/sesamecart-administration/src/openapi.rs
+++ b/crates/sesamecart-administration/src/openapi.rs
@@ -1,10 +1,10 @@
-//! The API's description, made from its routes and messages.
+//! The OpenAPI description of the API's routes and messages.
 
 use serde_json::{Value, json};
 
 use crate::message::ErrorCode;
 
-/// One operation of the API.
+/// An operation of the API: a method of a path.
 struct Operation {
     path: &'static str,
     method: &'static str,
@@ -135,7 +135,7 @@
     },
 ];
 
-/// Returns the API's description as OpenAPI 3.1.
+/// Returns the OpenAPI 3.1 description of the API.
 #[must_use]
 pub fn openapi() -> Value {
     let mut paths = json!({});
@@ -197,27 +197,27 @@
     json!({"$ref": format!("#/components/schemas/{schema}")})
 }
 
-fn text() -> Value {
+fn string() -> Value {
     json!({"type": "string"})
 }
 
-fn number() -> Value {
+fn integer() -> Value {
     json!({"type": "integer", "minimum": 0})
 }
 
-fn flag() -> Value {
+fn boolean() -> Value {
     json!({"type": "boolean"})
 }
 
-fn list(items: Value) -> Value {
+fn array(items: Value) -> Value {
     json!({"type": "array", "items": items})
 }
 
-fn optional(schema: Value) -> Value {
+fn nullable(schema: Value) -> Value {
     json!({"anyOf": [schema, {"type": "null"}]})
 }
 
-/// Makes an object whose first `required` properties must be there.
+/// Returns the schema of an object whose first `required` properties are required.
 fn object(required: usize, properties: Vec<Property>) -> Value {
     let names: Vec<_> = properties
         .iter()
@@ -252,60 +252,60 @@
         "Configuration": configuration,
         "OpenApi": {"type": "object"},
         "Problem": schema!(4;
-            "place": text(), "value": text(), "reason": text(), "remedy": text(),
-            "row": number(), "column": text()),
-        "Change": schema!(2; "subject": text(), "words": text()),
+            "place": string(), "value": string(), "reason": string(), "remedy": string(),
+            "row": integer(), "column": string()),
+        "Change": schema!(2; "subject": string(), "words": string()),
         "Verdict": schema!(1;
             "verdict": json!({"enum": ["accepted", "conflict"]}),
-            "revision": number(), "offset": number(),
-            "base": number(), "author": text(), "at_ms": number()),
+            "revision": integer(), "offset": integer(),
+            "base": integer(), "author": string(), "at_ms": integer()),
         "PublishRequest": schema!(3;
-            "publish_id": text(), "base_revision": number(),
-            "configuration": reference("Configuration"), "allow_capacity_drop": flag()),
+            "publish_id": string(), "base_revision": integer(),
+            "configuration": reference("Configuration"), "allow_capacity_drop": boolean()),
         "CheckRequest": schema!(1;
-            "configuration": reference("Configuration"), "allow_capacity_drop": flag()),
+            "configuration": reference("Configuration"), "allow_capacity_drop": boolean()),
         "CheckReply": schema!(3;
-            "revision": number(), "problems": list(reference("Problem")),
-            "changes": list(reference("Change"))),
-        "DrainRequest": schema!(3; "publish_id": text(), "target": text(), "on": flag()),
+            "revision": integer(), "problems": array(reference("Problem")),
+            "changes": array(reference("Change"))),
+        "DrainRequest": schema!(3; "publish_id": string(), "target": string(), "on": boolean()),
         "ChangeReply": schema!(2;
-            "publish_id": text(), "outcome": reference("ChangeOutcome")),
+            "publish_id": string(), "outcome": reference("ChangeOutcome")),
         "ChangeOutcome": {"oneOf": [
             schema!(1; "decided": reference("Verdict")),
-            schema!(1; "provisional": schema!(1; "expires_in_ms": number())),
+            schema!(1; "provisional": schema!(1; "expires_in_ms": integer())),
         ]},
         "ConfigurationReply": schema!(4;
-            "revision": number(), "author": text(), "published_at_ms": number(),
+            "revision": integer(), "author": string(), "published_at_ms": integer(),
             "configuration": reference("Configuration")),
         "StatusReply": schema!(5;
-            "node": text(), "revision": number(), "log_answers": flag(),
-            "nodes": list(reference("NodeReply")), "drains": list(reference("DrainReply"))),
+            "node": string(), "revision": integer(), "log_answers": boolean(),
+            "nodes": array(reference("NodeReply")), "drains": array(reference("DrainReply"))),
         "NodeReply": schema!(5;
-            "node": text(), "failure_domain": text(),
+            "node": string(), "failure_domain": string(),
             "state": json!({"enum": ["reachable", "unreachable"]}),
-            "revision": optional(number()), "next_offset": optional(number())),
+            "revision": nullable(integer()), "next_offset": nullable(integer())),
         "DrainReply": schema!(4;
-            "target": text(), "author": text(), "at_ms": number(),
+            "target": string(), "author": string(), "at_ms": integer(),
             "state": json!({"oneOf": [
                 {"const": "logged"},
-                schema!(1; "provisional": schema!(1; "remaining_ms": number())),
+                schema!(1; "provisional": schema!(1; "remaining_ms": integer())),
             ]})),
-        "GroupsReply": schema!(1; "groups": list(reference("GroupReply"))),
+        "GroupsReply": schema!(1; "groups": array(reference("GroupReply"))),
         "GroupReply": schema!(7;
-            "group": text(), "model": text(), "configured_vms": list(text()),
-            "assigned_vms": list(text()), "generation": optional(number()),
-            "endpoint": optional(text()), "drained": flag()),
-        "LeasesReply": schema!(1; "leases": list(reference("LeaseReply"))),
+            "group": string(), "model": string(), "configured_vms": array(string()),
+            "assigned_vms": array(string()), "generation": nullable(integer()),
+            "endpoint": nullable(string()), "drained": boolean()),
+        "LeasesReply": schema!(1; "leases": array(reference("LeaseReply"))),
         "LeaseReply": schema!(5;
-            "shard": number(), "holder": text(), "epoch": number(),
-            "voters": list(text()), "released": flag()),
+            "shard": integer(), "holder": string(), "epoch": integer(),
+            "voters": array(string()), "released": boolean()),
         "AuditReply": schema!(2;
-            "next_offset": number(), "entries": list(reference("AuditEntry"))),
+            "next_offset": integer(), "entries": array(reference("AuditEntry"))),
         "AuditEntry": schema!(8;
-            "offset": number(), "logged_at_ms": number(), "kind": text(), "author": text(),
-            "subject": text(), "old": text(), "new": text(), "verdict": text(), "from": text()),
+            "offset": integer(), "logged_at_ms": integer(), "kind": string(), "author": string(),
+            "subject": string(), "old": string(), "new": string(), "verdict": string(), "from": string()),
         "ErrorReply": schema!(2;
-            "code": json!({"enum": codes}), "message": text(),
-            "problems": list(reference("Problem")), "conflict": reference("Verdict")),
+            "code": json!({"enum": codes}), "message": string(),
+            "problems": array(reference("Problem")), "conflict": reference("Verdict")),
     })
 }
--- a/crates/sesamecart-administration/src/rate.rs
+++ b/crates/sesamecart-administration/src/rate.rs
@@ -1,56 +1,56 @@
-//! How often each operator may ask.
+//! Rate limiting of each operator's requests.
 
 use std::time::Duration;
 
 use indexmap::IndexMap;
 use sesamecart_vocabulary::Timestamp;
 
-/// How many seconds' worth of requests may come at once.
+/// Maximum burst, in seconds of the average rate.
 ///
-/// `sesamecart publish --wait` asks a few times a second, and an operator runs several commands in a
-/// row; two seconds' worth lets both through while a script that loops without pause is slowed down
-/// at once.
+/// `sesamecart publish --wait` polls a few times a second, and operators run several commands in a
+/// row. A burst of two seconds admits both, while a script that loops without pause is throttled
+/// immediately.
 const BURST_SECONDS: u64 = 2;
 
-/// A second in the clock's unit.
-const SECOND_US: u64 = 1_000_000;
+const MICROS_PER_SECOND: u64 = 1_000_000;
 
-/// Bounds each operator's requests.
+/// Limits the request rate of each operator separately.
 ///
-/// A script that asks in a loop would otherwise take the control thread's time from the log and the
-/// leases, and the whole node would suffer for one operator.
+/// Without a limit, a script that sends requests in a loop would take control-thread time from the
+/// log and the leases, and one operator would degrade the whole node.
 #[derive(Clone, Debug)]
 pub struct RateLimiter {
-    /// The clock's units that one request costs.
-    cost_us: u64,
-    /// When each operator's requests so far will have been paid for.
-    paid_until: IndexMap<String, Timestamp>,
+    /// The interval between requests at the average rate, in microseconds.
+    interval_us: u64,
+    /// Each operator's theoretical arrival time: when its admitted requests would all have arrived at
+    /// the average rate.
+    arrival_times: IndexMap<String, Timestamp>,
 }
 
 impl RateLimiter {
-    /// Makes a limiter for an average of `requests_per_s`.
+    /// Creates a limiter that allows each operator an average of `requests_per_s`.
     #[must_use]
     pub fn new(requests_per_s: u32) -> Self {
         Self {
-            cost_us: SECOND_US / u64::from(requests_per_s.max(1)),
-            paid_until: IndexMap::new(),
+            interval_us: MICROS_PER_SECOND / u64::from(requests_per_s.max(1)),
+            arrival_times: IndexMap::new(),
         }
     }
 
-    /// Lets a request in, or returns after what time to ask again.
+    /// Admits a request of an operator unless it exceeds the rate.
     ///
     /// # Errors
     ///
-    /// Returns how long to wait.
+    /// Returns how long to wait before retrying.
     pub fn admit(&mut self, operator: &str, now: Timestamp) -> Result<(), Duration> {
-        let paid_until = self.paid_until.entry(operator.to_owned()).or_default();
-        let begin = (*paid_until).max(now);
-        let next = begin + Duration::from_micros(self.cost_us);
-        let burst_end = now + Duration::from_micros(BURST_SECONDS * SECOND_US);
+        let arrival_time = self.arrival_times.entry(operator.to_owned()).or_default();
+        let start = (*arrival_time).max(now);
+        let next = start + Duration::from_micros(self.interval_us);
+        let burst_end = now + Duration::from_micros(BURST_SECONDS * MICROS_PER_SECOND);
         if next > burst_end {
             return Err(next - burst_end);
         }
-        *paid_until = next;
+        *arrival_time = next;
         Ok(())
     }
 }
--- a/crates/sesamecart-administration/src/route.rs
+++ b/crates/sesamecart-administration/src/route.rs
@@ -1,73 +1,74 @@
-//! The API's paths.
+//! Routing of requests by method and path.
 
 use derive_more::Display;
 use http::Method;
 use sesamecart_config::Role;
 use sesamecart_vocabulary::PublishId;
 
-/// What a request asks for.
+/// The operation that a request asks for.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Route {
-    /// How the nodes are.
+    /// Reads the state of the nodes and the drains in force.
     Status,
-    /// The configuration in force.
+    /// Reads the configuration in force.
     Configuration,
-    /// A new configuration.
+    /// Publishes a configuration.
     Publish,
-    /// What a new configuration would change.
+    /// Validates a configuration and lists what publishing it would change.
     Check,
-    /// A drain or its end.
+    /// Begins or ends a drain.
     Drain,
-    /// What became of a change.
+    /// Reads the outcome of a change.
     Change(PublishId),
-    /// The serving groups.
+    /// Lists the serving groups.
     Groups,
-    /// The leases.
+    /// Lists the leases of the shards.
     Leases,
-    /// The audit trail.
+    /// Reads the newest entries of the audit trail.
     Audit,
-    /// The API's description.
+    /// Reads the OpenAPI description.
     OpenApi,
 }
 
-/// Why no route was found.
+/// The reason why no route matches a request.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
 pub enum RouteError {
-    /// Nothing is at this path.
+    /// The path does not exist.
     #[display("there is nothing at this path; docs/openapi.json lists the paths")]
     Path,
-    /// The path doesn't take this method.
+    /// The path exists but does not support the method.
     #[display("this path does not take this method")]
     Method,
 }
 
 impl Route {
-    /// Finds the route of a request.
+    /// Returns the route that matches a request's method and path.
     ///
     /// # Errors
     ///
-    /// Returns an error that tells a wrong path from a wrong method.
+    /// Returns [`RouteError::Path`] for an unknown path and [`RouteError::Method`] for a method that
+    /// the path does not support.
     pub fn find(method: &Method, path: &str) -> Result<Self, RouteError> {
         let path = path.strip_prefix("/v1/").ok_or(RouteError::Path)?;
         if let Some(id) = path.strip_prefix("changes/") {
             let id = id.parse().map_err(|_| RouteError::Path)?;
-            return take(method, &Method::GET, Self::Change(id));
+            return require_method(method, &Method::GET, Self::Change(id));
         }
         match path {
-            "status" => take(method, &Method::GET, Self::Status),
+            "status" => require_method(method, &Method::GET, Self::Status),
             "configuration" if *method == Method::POST => Ok(Self::Publish),
-            "configuration" => take(method, &Method::GET, Self::Configuration),
-            "configuration/check" => take(method, &Method::POST, Self::Check),
-            "drains" => take(method, &Method::POST, Self::Drain),
-            "groups" => take(method, &Method::GET, Self::Groups),
-            "leases" => take(method, &Method::GET, Self::Leases),
-            "audit" => take(method, &Method::GET, Self::Audit),
-            "openapi.json" => take(method, &Method::GET, Self::OpenApi),
+            "configuration" => require_method(method, &Method::GET, Self::Configuration),
+            "configuration/check" => require_method(method, &Method::POST, Self::Check),
+            "drains" => require_method(method, &Method::POST, Self::Drain),
+            "groups" => require_method(method, &Method::GET, Self::Groups),
+            "leases" => require_method(method, &Method::GET, Self::Leases),
+            "audit" => require_method(method, &Method::GET, Self::Audit),
+            "openapi.json" => require_method(method, &Method::GET, Self::OpenApi),
             _ => Err(RouteError::Path),
         }
     }
 
-    /// Returns the lowest role that may ask for it.
+    /// Returns the lowest role that is allowed to use the route.
     #[must_use]
     pub const fn needs(&self) -> Role {
         match self {
@@ -85,8 +86,8 @@
     }
 }
 
-fn take(method: &Method, wanted: &Method, route: Route) -> Result<Route, RouteError> {
-    if method == wanted {
+fn require_method(method: &Method, allowed: &Method, route: Route) -> Result<Route, RouteError> {
+    if method == allowed {
         Ok(route)
     } else {
         Err(RouteError::Method)
--- a/crates/sesamecart-administration/src/scope.rs
+++ b/crates/sesamecart-administration/src/scope.rs
@@ -1,4 +1,4 @@
-//! What an operator of some teams sees and changes.
+//! Access of an operator to the parts of the configuration that belong to its teams.
 
 use derive_more::Display;
 use indexmap::{IndexMap, IndexSet};
@@ -6,30 +6,31 @@
 use sesamecart_fold::{AuditEntry, DrainTarget};
 use sesamecart_vocabulary::{GroupId, ServiceId, TeamId};
 
-/// The part of the platform that an operator sees and changes.
+/// The part of the platform that an operator is allowed to read and change.
 ///
 /// Many teams share the platform. A team's operator sees its own customers and services, and of the
-/// rest only what serves them; without the bound, one team's mistake would take another's capacity.
+/// rest only what serves them. Without this restriction, one team's mistake could take away another
+/// team's capacity.
 #[derive(Clone, Debug)]
 pub struct Scope {
     operator: String,
-    /// The teams; empty for the whole platform.
+    /// The operator's teams; empty if the operator administers the whole platform.
     teams: IndexSet<TeamId>,
 }
 
-/// Why a change lies outside an operator's teams.
+/// The reason why a change is outside an operator's scope.
 #[derive(Clone, Debug, Display, Eq, PartialEq)]
 pub enum ScopeError {
-    /// It changes something that belongs to others.
+    /// The change affects the named object, which does not belong to the operator's teams.
     #[display("this changes {_0}, which is not of your teams")]
     Others(String),
-    /// It needs an operator of the whole platform.
+    /// The change requires an operator of the whole platform.
     #[display("{_0} needs an operator of the whole platform")]
     WholePlatform(String),
 }
 
 impl Scope {
-    /// Returns an operator's scope.
+    /// Returns the scope of an operator.
     #[must_use]
     pub fn of(operator: &Operator) -> Self {
         Self {
@@ -44,7 +45,7 @@
         self.teams.is_empty()
     }
 
-    /// Returns the part of a configuration that the operator sees.
+    /// Returns the part of a configuration that is visible to the operator.
     #[must_use]
     pub fn view(&self, cfg: &Configuration) -> Configuration {
         let mut view = cfg.clone();
@@ -52,9 +53,9 @@
             return view;
         }
         view.customers
-            .retain(|_, customer| self.owns(customer.team.as_ref()));
+            .retain(|_, customer| self.is_own_team(customer.team.as_ref()));
         view.services
-            .retain(|_, service| self.owns(service.team.as_ref()));
+            .retain(|_, service| self.is_own_team(service.team.as_ref()));
         let models: IndexSet<_> = view
             .customers
             .values()
@@ -80,11 +81,12 @@
         view
     }
 
-    /// Puts the operator's part of `proposed` into the configuration in force.
+    /// Replaces the operator's part of `current`, the configuration in force, by that of `proposed`.
     ///
     /// # Errors
     ///
-    /// Returns an error that names the first thing of others that `proposed` changes.
+    /// Returns an error that names the first object outside the operator's scope that `proposed`
+    /// changes.
     pub fn merge(
         &self,
         current: &Configuration,
@@ -99,47 +101,48 @@
         others.services.clone_from(&view.services);
         others
             .endpoints
-            .retain(|_, endpoint| !self.is_own(&proposed, endpoint));
+            .retain(|_, endpoint| !self.is_own_endpoint(&proposed, endpoint));
         let mut expected = view.clone();
         expected
             .endpoints
-            .retain(|_, endpoint| !self.is_own(&view, endpoint));
+            .retain(|_, endpoint| !self.is_own_endpoint(&view, endpoint));
         if let Some(change) = expected.diff(&others).into_iter().next() {
             return Err(ScopeError::Others(change.subject));
         }
         let mut merged = current.clone();
         merged
             .customers
-            .retain(|_, customer| !self.owns(customer.team.as_ref()));
+            .retain(|_, customer| !self.is_own_team(customer.team.as_ref()));
         merged
             .services
-            .retain(|_, service| !self.owns(service.team.as_ref()));
+            .retain(|_, service| !self.is_own_team(service.team.as_ref()));
         merged
             .endpoints
-            .retain(|_, endpoint| !self.is_own(current, endpoint));
+            .retain(|_, endpoint| !self.is_own_endpoint(current, endpoint));
         for (id, endpoint) in &proposed.endpoints {
-            if self.is_own(&proposed, endpoint) {
-                add(&mut merged.endpoints, id, endpoint, "endpoint")?;
+            if self.is_own_endpoint(&proposed, endpoint) {
+                insert_own(&mut merged.endpoints, id, endpoint, "endpoint")?;
             }
         }
         for (id, customer) in &proposed.customers {
             self.check_customer(id.as_str(), customer)?;
-            add(&mut merged.customers, id, customer, "customer")?;
+            insert_own(&mut merged.customers, id, customer, "customer")?;
         }
         for (id, service) in &proposed.services {
-            if !self.owns(service.team.as_ref()) {
+            if !self.is_own_team(service.team.as_ref()) {
                 return Err(ScopeError::Others(format!("service {id}")));
             }
-            add(&mut merged.services, id, service, "service")?;
+            insert_own(&mut merged.services, id, service, "service")?;
         }
         Ok(merged)
     }
 
-    /// Checks whether the operator may drain a target.
+    /// Checks that the operator is allowed to drain a target.
     ///
     /// # Errors
     ///
-    /// Returns an error for anything but an endpoint of the operator's own services.
+    /// Returns an error if the operator is limited to teams and the target is not an endpoint of one
+    /// of their services.
     pub fn check_drain(&self, cfg: &Configuration, target: &DrainTarget) -> Result<(), ScopeError> {
         if self.is_whole() {
             return Ok(());
@@ -150,33 +153,33 @@
         let own = cfg
             .endpoints
             .get(id)
-            .is_some_and(|found| self.is_own(cfg, found));
+            .is_some_and(|found| self.is_own_endpoint(cfg, found));
         own.then_some(())
             .ok_or_else(|| ScopeError::Others(target.to_string()))
     }
 
-    /// Returns whether the operator sees a line of the audit trail.
+    /// Returns whether an entry of the audit trail is visible to the operator.
     #[must_use]
     pub fn sees(&self, entry: &AuditEntry) -> bool {
         self.is_whole() || entry.author == self.operator
     }
 
-    fn owns(&self, team: Option<&TeamId>) -> bool {
+    fn is_own_team(&self, team: Option<&TeamId>) -> bool {
         team.is_some_and(|team| self.teams.contains(team))
     }
 
-    fn is_own(&self, cfg: &Configuration, endpoint: &Endpoint) -> bool {
+    fn is_own_endpoint(&self, cfg: &Configuration, endpoint: &Endpoint) -> bool {
         match &endpoint.kind {
             EndpointKind::Group(_) => false,
             EndpointKind::Service(service) => {
                 let service = cfg.services.get(service);
-                service.is_some_and(|service| self.owns(service.team.as_ref()))
+                service.is_some_and(|service| self.is_own_team(service.team.as_ref()))
             }
         }
     }
 
     fn check_customer(&self, id: &str, customer: &Customer) -> Result<(), ScopeError> {
-        if self.owns(customer.team.as_ref()) {
+        if self.is_own_team(customer.team.as_ref()) {
             Ok(())
         } else {
             Err(ScopeError::Others(format!("customer {id}")))
@@ -191,8 +194,13 @@
     }
 }
 
-/// Adds something of the operator's, unless another team has the name.
-fn add<K, V>(map: &mut IndexMap<K, V>, id: &K, value: &V, kind: &str) -> Result<(), ScopeError>
+/// Inserts an object of the operator's teams. Fails if another team already uses its name.
+fn insert_own<K, V>(
+    map: &mut IndexMap<K, V>,
+    id: &K,
+    value: &V,
+    kind: &str,
+) -> Result<(), ScopeError>
 where
     K: Clone + Eq + std::hash::Hash + std::fmt::Display,
     V: Clone,
--- a/crates/sesamecart-administration/src/tests.rs
+++ b/crates/sesamecart-administration/src/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of who may do what, and of the API's description against its messages.
+//! Tests of authorization, scopes and rate limits, and of the OpenAPI description.
 
 use std::time::Duration;
 
@@ -16,9 +16,9 @@
     NodeReply, NodeState, RateLimiter, Route, RouteError, Scope, ScopeError, StatusReply, openapi,
 };
 
-const DESCRIPTION: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/openapi.json");
+const DESCRIPTION_PATH: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/openapi.json");
 
-fn name<T: std::str::FromStr<Err: std::fmt::Debug>>(text: &str) -> T {
+fn parse<T: std::str::FromStr<Err: std::fmt::Debug>>(text: &str) -> T {
     text.parse().unwrap()
 }
 
@@ -31,31 +31,32 @@
     }
 }
 
-/// The example day, with the stock service and a customer given to the team `ledger`.
-fn day() -> Configuration {
+/// Returns the example configuration, with the stock service and a customer owned by the team `ledger`.
+fn example_configuration() -> Configuration {
     let sheet = include_bytes!("../../../examples/day.csv");
     let inventory = include_str!("../../../examples/inventory.json");
     let mut inventory: Inventory = serde_json::from_str(inventory).unwrap();
-    inventory.services[0].team = Some(name("ledger"));
-    inventory.customers[0].team = Some(name("ledger"));
+    inventory.services[0].team = Some(parse("ledger"));
+    inventory.customers[0].team = Some(parse("ledger"));
     import_sheet(sheet, &inventory).configuration
 }
 
-fn ledger() -> Scope {
+fn ledger_scope() -> Scope {
     Scope::of(&operator("ines", Role::Operator, &["ledger"]))
 }
 
-/// Run `UPDATE_OPENAPI=1 cargo test -p sesamecart-administration` after a change of the API.
+/// Run `UPDATE_OPENAPI=1 cargo test -p sesamecart-administration` to update the file after a change of
+/// the API.
 #[test]
-fn committed_description_is_in_step() {
+fn committed_description_is_up_to_date() {
     let text = format!("{}\n", serde_json::to_string_pretty(&openapi()).unwrap());
     if std::env::var_os("UPDATE_OPENAPI").is_some() {
-        std::fs::write(DESCRIPTION, &text).unwrap();
+        std::fs::write(DESCRIPTION_PATH, &text).unwrap();
     }
-    let committed = std::fs::read_to_string(DESCRIPTION).unwrap();
+    let committed = std::fs::read_to_string(DESCRIPTION_PATH).unwrap();
     assert!(
         text == committed,
-        "docs/openapi.json is out of step with the API"
+        "docs/openapi.json is not up to date with the API"
     );
 }
 
@@ -76,7 +77,7 @@
     assert_eq!(count, 10);
 }
 
-/// A message's JSON must have the fields that its schema names, and no other.
+/// Tests that a message's JSON has all fields that its schema requires, and none that the schema lacks.
 macro_rules! schemas {
     ($($test:ident: $schema:literal, $message:expr;)*) => {$(
         #[test]
@@ -108,7 +109,7 @@
 
 fn drain() -> DrainReply {
     DrainReply {
-        target: name("vm:ledger-a"),
+        target: parse("vm:ledger-a"),
         author: "salma".to_owned(),
         at_ms: 4,
         state: DrainState::Logged,
@@ -117,8 +118,8 @@
 
 fn node() -> NodeReply {
     NodeReply {
-        node: name("n1"),
-        failure_domain: name("muscat-a"),
+        node: parse("n1"),
+        failure_domain: parse("muscat-a"),
         state: NodeState::Reachable,
         revision: None,
         next_offset: None,
@@ -128,13 +129,13 @@
 schemas! {
     verdict_is_described: "Verdict", accepted();
     change_is_described: "ChangeReply", ChangeReply {
-        publish_id: name("p-1"),
+        publish_id: parse("p-1"),
         outcome: ChangeOutcome::Decided(accepted()),
     };
     node_is_described: "NodeReply", node();
     drain_is_described: "DrainReply", drain();
     status_is_described: "StatusReply", StatusReply {
-        node: name("n1"),
+        node: parse("n1"),
         revision: Revision(1),
         log_answers: true,
         nodes: vec![node()],
@@ -156,13 +157,13 @@
 }
 
 fn problem() -> sesamecart_config::ProblemReport {
-    let mut cfg = day();
+    let mut cfg = example_configuration();
     cfg.sheet = 0;
     cfg.check().remove(0).into()
 }
 
-/// Tokens and roles decide who gets in.
-macro_rules! admissions {
+/// Tests which `Authorization` headers and roles are accepted.
+macro_rules! authorizations {
     ($($test:ident: $header:expr, $needs:expr => $expected:pat,)*) => {$(
         #[test]
         fn $test() {
@@ -181,10 +182,10 @@
     )*};
 }
 
-admissions! {
+authorizations! {
     known_token: Some("Bearer token-of-salma"), Role::Operator => Ok("salma"),
     scheme_in_lower_case: Some("bearer token-of-omar"), Role::OnCall => Ok("omar"),
-    low_role: Some("Bearer token-of-omar"), Role::Operator => Err(Denial::Role { .. }),
+    insufficient_role: Some("Bearer token-of-omar"), Role::Operator => Err(Denial::Role { .. }),
     unknown_token: Some("Bearer guess"), Role::Viewer => Err(Denial::Unauthenticated),
     hash_in_place_of_token: Some("Bearer 0"), Role::Viewer => Err(Denial::Unauthenticated),
     other_scheme: Some("Basic token-of-salma"), Role::Viewer => Err(Denial::Unauthenticated),
@@ -192,9 +193,10 @@
     no_header: None, Role::Viewer => Err(Denial::Unauthenticated),
 }
 
-/// An operator whose settings hold the hash of nothing must not be whoever sends no token.
+/// If the settings hold the hash of the empty string as an operator's token, a request without a token
+/// must not be authenticated as that operator.
 #[test]
-fn hash_of_an_empty_token_admits_nobody() {
+fn hash_of_empty_token_authenticates_nobody() {
     let mut empty = operator("salma", Role::Operator, &[]);
     empty.token = KeyHash::of(b"");
     let access = AdministrationAccess {
@@ -208,9 +210,9 @@
     );
 }
 
-/// A script asks without pause. It must be slowed down, while another operator isn't.
+/// A script that sends requests without pause must be throttled, without affecting other operators.
 #[test]
-fn one_operator_cannot_take_all_requests() {
+fn rate_limit_applies_to_each_operator_separately() {
     let mut limiter = RateLimiter::new(10);
     let now = Timestamp::from_millis(60_000);
     let admitted = (0..100)
@@ -224,13 +226,13 @@
 }
 
 #[test]
-fn team_sees_its_own_part() {
-    let view = ledger().view(&day());
+fn view_is_limited_to_own_teams() {
+    let view = ledger_scope().view(&example_configuration());
     assert_eq!(view.customers.len(), 1);
     assert_eq!(view.services.len(), 1);
-    let mut all = day();
+    let mut all = example_configuration();
     all.services[0].team = None;
-    let view = ledger().view(&all);
+    let view = ledger_scope().view(&all);
     assert!(view.services.is_empty());
     assert!(
         view.endpoints
@@ -240,21 +242,21 @@
 }
 
 #[test]
-fn team_changes_its_own_part_and_keeps_the_rest() {
-    let current = day();
-    let mut proposed = ledger().view(&current);
+fn merge_changes_own_objects_and_keeps_the_rest() {
+    let current = example_configuration();
+    let mut proposed = ledger_scope().view(&current);
     proposed.customers[0].weight = sesamecart_vocabulary::Weight(9);
-    let id: EndpointId = name("stock-a");
+    let id: EndpointId = parse("stock-a");
     proposed.endpoints[&id].limits.warm = sesamecart_vocabulary::Concurrency(8);
-    let merged = ledger().merge(&current, proposed).unwrap();
+    let merged = ledger_scope().merge(&current, proposed).unwrap();
     assert_eq!(merged.customers.len(), 3);
-    let words: Vec<_> = current
+    let changes: Vec<_> = current
         .diff(&merged)
         .iter()
         .map(ToString::to_string)
         .collect();
     assert_eq!(
-        words,
+        changes,
         [
             "endpoint stock-a: warm limit 32 -> 8",
             "customer harbour-pounds: weight 4 -> 9"
@@ -262,42 +264,42 @@
     );
 }
 
-/// A team's operator sends a configuration that reaches into what belongs to others. Without the
-/// refusal, one team could take another's customers, machines or service.
-macro_rules! intrusions {
+/// Tests that a team's operator cannot change objects outside of its scope. If such a change were
+/// accepted, one team could take another team's customers, machines or services.
+macro_rules! out_of_scope_changes {
     ($($test:ident: $change:expr => $subject:literal;)*) => {$(
         #[test]
         fn $test() {
-            let current = day();
-            let mut proposed = ledger().view(&current);
+            let current = example_configuration();
+            let mut proposed = ledger_scope().view(&current);
             let change: fn(&mut Configuration) = $change;
             change(&mut proposed);
-            let refused = ledger().merge(&current, proposed);
+            let refused = ledger_scope().merge(&current, proposed);
             assert_eq!(refused, Err(ScopeError::Others($subject.to_owned())));
         }
     )*};
 }
 
-intrusions! {
-    takes_a_group_apart: |cfg| { cfg.groups.shift_remove_index(0); } => "group pound-a1";
-    moves_a_vm: |cfg| cfg.vms[0].failure_domain = name("muscat-b") => "VM engine-a1";
-    takes_over_a_customer: |cfg| {
-        let mut other = day().customers[1].clone();
-        other.team = Some(name("ledger"));
-        cfg.customers.insert(name("sohar-pounds"), other);
+out_of_scope_changes! {
+    removes_a_group: |cfg| { cfg.groups.shift_remove_index(0); } => "group pound-a1";
+    moves_a_vm: |cfg| cfg.vms[0].failure_domain = parse("muscat-b") => "VM engine-a1";
+    replaces_a_customer_of_another_team: |cfg| {
+        let mut other = example_configuration().customers[1].clone();
+        other.team = Some(parse("ledger"));
+        cfg.customers.insert(parse("sohar-pounds"), other);
     } => "customer sohar-pounds";
-    makes_a_customer_of_another_team: |cfg| cfg.customers[0].team = Some(name("front")) =>
+    assigns_a_customer_to_another_team: |cfg| cfg.customers[0].team = Some(parse("front")) =>
         "customer harbour-pounds";
-    gives_its_service_away: |cfg| cfg.services[0].team = None => "endpoint stock-a";
-    changes_an_engine: |cfg| cfg.endpoints[0].checks_epoch = false => "endpoint pound-a1";
+    removes_the_team_of_a_service: |cfg| cfg.services[0].team = None => "endpoint stock-a";
+    changes_an_engine_endpoint: |cfg| cfg.endpoints[0].checks_epoch = false => "endpoint pound-a1";
     changes_the_date: |cfg| "2026-12-04".clone_into(&mut cfg.date) => "configuration";
 }
 
 #[test]
 fn team_drains_only_its_own_endpoints() {
-    let cfg = day();
+    let cfg = example_configuration();
     assert_eq!(
-        ledger().check_drain(&cfg, &name("endpoint:stock-a")),
+        ledger_scope().check_drain(&cfg, &parse("endpoint:stock-a")),
         Ok(())
     );
     for target in [
@@ -307,19 +309,19 @@
         "endpoint:none",
     ] {
         assert!(
-            ledger().check_drain(&cfg, &name(target)).is_err(),
+            ledger_scope().check_drain(&cfg, &parse(target)).is_err(),
             "{target}"
         );
     }
     let whole = Scope::of(&operator("salma", Role::Operator, &[]));
     assert_eq!(
-        whole.check_drain(&cfg, &name("failure-domain:muscat-a")),
+        whole.check_drain(&cfg, &parse("failure-domain:muscat-a")),
         Ok(())
     );
 }
 
 #[test]
-fn unknown_paths_and_methods_are_told_apart() {
+fn unknown_path_and_unsupported_method_are_distinct_errors() {
     let find = |method: Method, path: &str| Route::find(&method, path);
     assert_eq!(find(Method::GET, "/v1/nothing"), Err(RouteError::Path));
     assert_eq!(find(Method::GET, "/status"), Err(RouteError::Path));
@@ -327,14 +329,17 @@
     assert_eq!(find(Method::GET, "/v1/drains"), Err(RouteError::Method));
     assert_eq!(
         find(Method::GET, "/v1/changes/p-1"),
-        Ok(Route::Change(name("p-1")))
+        Ok(Route::Change(parse("p-1")))
     );
 }
 
 #[test]
-fn whole_platform_scope_changes_everything() {
+fn whole_platform_scope_allows_every_change() {
     let whole = Scope::of(&operator("salma", Role::Operator, &[]));
-    let mut proposed = day();
-    proposed.services.shift_remove(&name::<ServiceId>("stock"));
-    assert_eq!(whole.merge(&day(), proposed.clone()), Ok(proposed));
+    let mut proposed = example_configuration();
+    proposed.services.shift_remove(&parse::<ServiceId>("stock"));
+    assert_eq!(
+        whole.merge(&example_configuration(), proposed.clone()),
+        Ok(proposed)
+    );
 }
