--- a/crates/sesamecart-groups/src/assignment.rs
+++ b/crates/sesamecart-groups/src/assignment.rs
@@ -141,7 +141,7 @@
 
     /// Returns whether a request has taken effect or can no longer take effect.
     #[must_use]
-    pub fn has_settled(&self, request: &AssignmentRequest) -> bool {
+    pub fn is_settled(&self, request: &AssignmentRequest) -> bool {
         match request {
             AssignmentRequest::Assign {
                 group, generation, ..
--- a/crates/sesamecart-groups/src/assignment/tests.rs
+++ b/crates/sesamecart-groups/src/assignment/tests.rs
@@ -34,7 +34,7 @@
     ($($name:ident: $request:expr => $settled:literal;)*) => {$(
         #[test]
         fn $name() {
-            assert_eq!(assignments().has_settled(&$request), $settled);
+            assert_eq!(assignments().is_settled(&$request), $settled);
         }
     )*};
 }
@@ -51,7 +51,7 @@
 #[test]
 fn first_assignment_is_not_settled() {
     let assignments = Assignments::default();
-    assert!(!assignments.has_settled(&assign(0)));
+    assert!(!assignments.is_settled(&assign(0)));
 }
 
 #[test]
--- a/crates/sesamecart-groups/src/controller/event.rs
+++ b/crates/sesamecart-groups/src/controller/event.rs
@@ -7,7 +7,7 @@
 
 use crate::assignment::{AssignmentRequest, Assignments};
 use crate::fleet::Fleet;
-use crate::order::{FencedOrder, OrderAnswer};
+use crate::order::{FencedOrder, OrderOutcome};
 use crate::state::{GroupReport, Routability};
 
 /// A VM's state in the platform's list, which may be outdated.
@@ -37,7 +37,7 @@
         /// The group whose endpoint received the order.
         group: GroupId,
         /// The outcome of the order.
-        answer: OrderAnswer,
+        answer: OrderOutcome,
     },
     /// A load has made progress.
     LoadProgress {
--- a/crates/sesamecart-groups/src/controller/group.rs
+++ b/crates/sesamecart-groups/src/controller/group.rs
@@ -128,7 +128,7 @@
     ) -> Routability {
         let size = model.vms_per_group;
         let report = self.report.as_ref();
-        let routability = assess(assigned, size, report, lost, now, settings.validity);
+        let routability = assess(assigned, size, report, lost, now, settings.report_validity);
         if routability.is_routable(now) {
             self.unavailable_since = None;
             self.start_order = None;
--- a/crates/sesamecart-groups/src/controller/mod.rs
+++ b/crates/sesamecart-groups/src/controller/mod.rs
@@ -16,7 +16,7 @@
 
 use crate::assignment::{AssignmentRequest, Assignments};
 use crate::fleet::{Fleet, GroupPlan, ModelPlan};
-use crate::order::OrderAnswer;
+use crate::order::OrderOutcome;
 use crate::settings::GroupSettings;
 use crate::state::{GroupReport, Routability};
 
@@ -185,7 +185,7 @@
         self.assignments = assignments;
         let assignments = &self.assignments;
         self.pending
-            .retain(|request, _| !assignments.has_settled(request));
+            .retain(|request, _| !assignments.is_settled(request));
         self.invalidate_assessments();
         self.publish_all(now, effects);
     }
@@ -241,12 +241,12 @@
         self.publish(&group, now, effects);
     }
 
-    fn on_order_answer(&mut self, group: &GroupId, answer: OrderAnswer) {
+    fn on_order_answer(&mut self, group: &GroupId, answer: OrderOutcome) {
         let Some(control) = self.groups.get_mut(group) else {
             return;
         };
         control.sequencer.record_answer(answer);
-        if answer != OrderAnswer::Taken {
+        if answer != OrderOutcome::Accepted {
             control.start_order = None;
         }
     }
--- a/crates/sesamecart-groups/src/controller/planning.rs
+++ b/crates/sesamecart-groups/src/controller/planning.rs
@@ -116,7 +116,7 @@
             let from_serving = repair.acquire.iter().any(|acquired| acquired.from_serving);
             if from_serving && let Some(control) = self.groups.get_mut(&repair.group) {
                 control.start_not_before =
-                    now + self.settings.append_timeout + self.settings.validity;
+                    now + self.settings.append_timeout + self.settings.report_validity;
             }
         }
         let mut remaining = view;
--- a/crates/sesamecart-groups/src/controller/tests.rs
+++ b/crates/sesamecart-groups/src/controller/tests.rs
@@ -6,7 +6,7 @@
 use sesamecart_vocabulary::{Bytes, Epoch, GroupId, VmId};
 
 use super::VmState;
-use crate::order::{OrderAnswer, OrderKind};
+use crate::order::{OrderKind, OrderOutcome};
 use simulation::{STORE_RATE, Simulation};
 
 fn vm(name: &str) -> VmId {
@@ -109,7 +109,7 @@
     assert!(
         sim.orders
             .iter()
-            .all(|order| order.answer != OrderAnswer::Taken)
+            .all(|order| order.answer != OrderOutcome::Accepted)
     );
 }
 
--- a/crates/sesamecart-groups/src/controller/tests/simulation.rs
+++ b/crates/sesamecart-groups/src/controller/tests/simulation.rs
@@ -12,8 +12,8 @@
 
 use crate::assignment::{AssignedGroup, AssignmentRequest, Assignments};
 use crate::controller::{Controller, Effect, Event, VmState};
-use crate::fleet::{Fleet, GroupPlan, ModelPlan, VmPlace};
-use crate::order::{FencedOrder, OrderAnswer, OrderKind};
+use crate::fleet::{Fleet, GroupPlan, ModelPlan, VmLocation};
+use crate::order::{FencedOrder, OrderKind, OrderOutcome};
 use crate::settings::GroupSettings;
 use crate::state::{GroupReport, MemberReport};
 
@@ -28,7 +28,7 @@
 pub(super) struct SentOrder {
     pub(super) epoch: Epoch,
     pub(super) kind: OrderKind,
-    pub(super) answer: OrderAnswer,
+    pub(super) answer: OrderOutcome,
 }
 
 struct Engine {
@@ -179,7 +179,7 @@
 
     pub(super) fn was_complete_when_polled(&self, group: &str) -> bool {
         let (asked_at, is_complete) = self.reported[&group.parse::<GroupId>().unwrap()];
-        is_complete && self.now.since(asked_at) < GroupSettings::default().validity
+        is_complete && self.now.since(asked_at) < GroupSettings::default().report_validity
     }
 
     pub(super) fn run(&mut self, time: Duration) {
@@ -267,12 +267,12 @@
             load.is_some_and(|l| l.group == order.group && l.remaining == Bytes(0))
         };
         let answer = if order.epoch < self.newest_epoch {
-            OrderAnswer::Fenced(self.newest_epoch)
+            OrderOutcome::Fenced(self.newest_epoch)
         } else if members
             .first()
             .is_none_or(|first| !self.is_responsive(first))
         {
-            OrderAnswer::Unclear
+            OrderOutcome::Unknown
         } else {
             self.newest_epoch = order.epoch;
             let can_start = members
@@ -293,7 +293,7 @@
                 },
             };
             self.engines.insert(order.group.clone(), engine);
-            OrderAnswer::Taken
+            OrderOutcome::Accepted
         };
         self.orders.push(SentOrder {
             epoch: order.epoch,
@@ -446,7 +446,7 @@
 }
 
 fn fleet() -> Fleet {
-    let place = VmPlace {
+    let place = VmLocation {
         failure_domain: "z".parse().unwrap(),
         fabric_domain: "f".parse().unwrap(),
     };
--- a/crates/sesamecart-groups/src/fleet.rs
+++ b/crates/sesamecart-groups/src/fleet.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Fleet {
     /// The VMs that may hold members of groups.
-    pub vms: IndexMap<VmId, VmPlace>,
+    pub vms: IndexMap<VmId, VmLocation>,
     /// The models.
     pub models: IndexMap<ModelId, ModelPlan>,
     /// The groups that should run.
@@ -18,7 +18,7 @@
 
 /// The location of a VM.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct VmPlace {
+pub struct VmLocation {
     /// Its failure domain.
     pub failure_domain: FailureDomainId,
     /// Its fabric domain.
@@ -82,7 +82,7 @@
     }
 
     /// Returns the VMs of one fabric domain.
-    pub fn vms_in(&self, fabric: &FabricDomainId) -> impl Iterator<Item = (&VmId, &VmPlace)> {
+    pub fn vms_in(&self, fabric: &FabricDomainId) -> impl Iterator<Item = (&VmId, &VmLocation)> {
         self.vms
             .iter()
             .filter(move |(_, place)| place.fabric_domain == *fabric)
--- a/crates/sesamecart-groups/src/lib.rs
+++ b/crates/sesamecart-groups/src/lib.rs
@@ -15,8 +15,8 @@
 
 pub use assignment::{AssignedGroup, AssignmentRequest, Assignments};
 pub use controller::{Controller, Effect, Event, GroupPhase, VmState};
-pub use fleet::{Fleet, GroupPlan, ModelPlan, VmPlace};
-pub use order::{FencedOrder, OrderAnswer, OrderKind, OrderSequencer};
+pub use fleet::{Fleet, GroupPlan, ModelPlan, VmLocation};
+pub use order::{FencedOrder, OrderKind, OrderOutcome, OrderSequencer};
 pub use repair::{AcquiredVm, GroupHealth, Repair, RepairView, plan_repairs, plan_replacements};
 pub use rollout::{Replica, next_to_update};
 pub use settings::{GroupSettings, RepairSettings};
--- a/crates/sesamecart-groups/src/order.rs
+++ b/crates/sesamecart-groups/src/order.rs
@@ -55,13 +55,13 @@
 
 /// The outcome of an order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum OrderAnswer {
+pub enum OrderOutcome {
     /// The endpoint accepted the order.
-    Taken,
+    Accepted,
     /// The endpoint refused the order because it has seen the given newer epoch.
     Fenced(Epoch),
     /// There was no response, or another error: the order may or may not have taken effect.
-    Unclear,
+    Unknown,
 }
 
 /// Ensures that one group's orders are sent one at a time and only under a current epoch.
@@ -124,11 +124,11 @@
 
     /// Records the outcome of the last order. If the endpoint has seen a newer epoch, no more orders are
     /// sent under this one.
-    pub fn record_answer(&mut self, answer: OrderAnswer) {
+    pub fn record_answer(&mut self, answer: OrderOutcome) {
         self.in_flight_since = None;
         match answer {
-            OrderAnswer::Taken | OrderAnswer::Unclear => {}
-            OrderAnswer::Fenced(highest_epoch) => {
+            OrderOutcome::Accepted | OrderOutcome::Unknown => {}
+            OrderOutcome::Fenced(highest_epoch) => {
                 self.highest_epoch = self.highest_epoch.max(highest_epoch);
                 if self.epoch.is_some_and(|epoch| epoch < highest_epoch) {
                     self.epoch = None;
--- a/crates/sesamecart-groups/src/order/tests.rs
+++ b/crates/sesamecart-groups/src/order/tests.rs
@@ -2,7 +2,7 @@
 
 use sesamecart_vocabulary::{Epoch, Timestamp};
 
-use super::{OrderAnswer, OrderSequencer};
+use super::{OrderOutcome, OrderSequencer};
 
 const MAX_ORDER_LATENCY: Duration = Duration::from_secs(10);
 
@@ -54,7 +54,7 @@
     let mut sequencer = OrderSequencer::default();
     sequencer.acquire_epoch(Epoch(5), true, MAX_ORDER_LATENCY, at(0));
     sequencer.record_state_read(at(0));
-    sequencer.record_answer(OrderAnswer::Fenced(Epoch(9)));
+    sequencer.record_answer(OrderOutcome::Fenced(Epoch(9)));
     assert_eq!(sequencer.sendable_epoch(at(1)), None);
     sequencer.acquire_epoch(Epoch(7), true, MAX_ORDER_LATENCY, at(2));
     sequencer.record_state_read(at(2));
--- a/crates/sesamecart-groups/src/repair.rs
+++ b/crates/sesamecart-groups/src/repair.rs
@@ -195,7 +195,7 @@
         if acquire.len() < needed && self.is_merge_faster() {
             self.acquire_from_broken(needed, lower_ranked, &mut acquire);
         }
-        if acquire.len() < needed && group.scarce && self.settings.take_apart_serving {
+        if acquire.len() < needed && group.scarce && self.settings.preempt_serving {
             self.acquire_from_serving(needed, group, &mut acquire);
         }
         if acquire.len() < needed {
@@ -212,7 +212,7 @@
     /// Returns whether completing a group with another's VMs is faster than waiting for the lost VMs.
     fn is_merge_faster(&self) -> bool {
         let recovery = self.view.load_time + self.settings.expected_engine_start;
-        self.settings.merge_broken && recovery < self.settings.expected_vm_absence
+        self.settings.merge_incomplete && recovery < self.settings.expected_vm_absence
     }
 
     /// Acquires VMs of other incomplete groups, lowest priority first.
--- a/crates/sesamecart-groups/src/settings.rs
+++ b/crates/sesamecart-groups/src/settings.rs
@@ -10,7 +10,7 @@
     /// How long a group's report is valid, counted from when the request for it was sent. It bounds how
     /// long work is sent to a group whose member failed silently. It must cover three polls, so that one
     /// lost response doesn't make a group unroutable.
-    pub validity: Duration,
+    pub report_validity: Duration,
     /// How long a member must be missing from reports before it is replaced. Waiting out a pause shorter
     /// than this costs less than loading the weights on another VM.
     pub grace_period: Duration,
@@ -38,10 +38,10 @@
     /// Replace a lost member with a free VM of the same fabric domain.
     pub use_spares: bool,
     /// Complete a group with the remaining VMs of another incomplete group.
-    pub merge_broken: bool,
+    pub merge_incomplete: bool,
     /// Preempt a serving group to complete a group of a model that has at most one other serving replica
     /// and a much higher marginal value.
-    pub take_apart_serving: bool,
+    pub preempt_serving: bool,
     /// Replace a VM that the VM list shows as leaving before it is gone.
     pub replace_leaving: bool,
     /// The lowest ratio between a group's marginal value and that of a serving group that it may preempt.
@@ -57,7 +57,7 @@
 impl Default for GroupSettings {
     fn default() -> Self {
         Self {
-            validity: Duration::from_secs(3),
+            report_validity: Duration::from_secs(3),
             grace_period: Duration::from_secs(5),
             max_order_latency: Duration::from_secs(10),
             append_timeout: Duration::from_secs(10),
@@ -74,8 +74,8 @@
     fn default() -> Self {
         Self {
             use_spares: true,
-            merge_broken: true,
-            take_apart_serving: true,
+            merge_incomplete: true,
+            preempt_serving: true,
             replace_leaving: true,
             preemption_factor: 2,
             expected_vm_absence: Duration::from_secs(600),
--- a/crates/sesamecart-groups/src/state.rs
+++ b/crates/sesamecart-groups/src/state.rs
@@ -90,8 +90,8 @@
 ///
 /// A replica with a lost or outdated member hangs or responds from only a part of the model, so callers would
 /// receive truncated or wrong responses. Therefore every member must be ready in the same generation and the
-/// same incarnation of the engine, in one report that is younger than `validity`. A member that is known to
-/// be lost takes precedence over any report.
+/// same incarnation of the engine, in one report that is younger than `report_validity`. A member that is
+/// known to be lost takes precedence over any report.
 #[must_use]
 pub fn assess(
     assigned: &AssignedGroup,
--- a/crates/sesamecart-measure/src/groups/day.rs
+++ b/crates/sesamecart-measure/src/groups/day.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use indexmap::{IndexMap, IndexSet};
-use sesamecart_groups::{Assignments, Controller, Effect, Event, OrderAnswer, VmState};
+use sesamecart_groups::{Assignments, Controller, Effect, Event, OrderOutcome, VmState};
 use sesamecart_vocabulary::{Bytes, FabricDomainId, GroupId, ShardId, Timestamp, VmId};
 
 use super::faults::{DAY, Dated};
@@ -244,7 +244,7 @@
             !matches!(
                 event,
                 Event::OrderAnswered {
-                    answer: OrderAnswer::Unclear,
+                    answer: OrderOutcome::Unknown,
                     ..
                 }
             )
--- a/crates/sesamecart-measure/src/groups/layout.rs
+++ b/crates/sesamecart-measure/src/groups/layout.rs
@@ -1,7 +1,7 @@
 //! The deployments that are measured.
 
 use indexmap::{IndexMap, IndexSet};
-use sesamecart_groups::{Fleet, GroupPlan, ModelPlan, VmPlace};
+use sesamecart_groups::{Fleet, GroupPlan, ModelPlan, VmLocation};
 use sesamecart_vocabulary::{
     Bytes, FabricDomainId, FailureDomainId, GroupId, ModelId, VmId, Weight,
 };
@@ -152,7 +152,7 @@
 
     fn add_vm(&self, layout: &mut Layout, vm: &VmId, fabric: usize) {
         let domain: FailureDomainId = id(&format!("domain-{}", fabric % self.failure_domains));
-        let place = VmPlace {
+        let place = VmLocation {
             failure_domain: domain,
             fabric_domain: fabric_id(fabric),
         };
--- a/crates/sesamecart-measure/src/groups/platform.rs
+++ b/crates/sesamecart-measure/src/groups/platform.rs
@@ -9,7 +9,7 @@
 
 use indexmap::{IndexMap, IndexSet};
 use sesamecart_groups::{
-    Assignments, FencedOrder, Fleet, GroupReport, MemberReport, OrderAnswer, VmState,
+    Assignments, FencedOrder, Fleet, GroupReport, MemberReport, OrderOutcome, VmState,
 };
 use sesamecart_vocabulary::{
     Bytes, FailureDomainId, Generation, GroupId, Incarnation, Timestamp, VmId,
@@ -302,13 +302,13 @@
         order: &FencedOrder,
         assignments: &Assignments,
         now: Timestamp,
-    ) -> OrderAnswer {
+    ) -> OrderOutcome {
         let Some(assigned) = assignments.group(&order.group) else {
-            return OrderAnswer::Unclear;
+            return OrderOutcome::Unknown;
         };
         let members: Vec<VmId> = assigned.members.iter().cloned().collect();
         if !members.first().is_some_and(|front| self.works(front, now)) {
-            return OrderAnswer::Unclear;
+            return OrderOutcome::Unknown;
         }
         let holds = |vm: &VmId| {
             let weights = self.vms[vm].weights.as_ref();
@@ -321,7 +321,7 @@
             EngineState::Dead
         };
         self.join(&order.group, order.generation, members, state);
-        OrderAnswer::Taken
+        OrderOutcome::Accepted
     }
 
     /// Says whether a VM runs and isn't paused.
--- a/crates/sesamecart-measure/src/groups/policy.rs
+++ b/crates/sesamecart-measure/src/groups/policy.rs
@@ -40,17 +40,17 @@
             Self::Ours => {}
             Self::Wait | Self::Rebuild => {
                 repair.use_spares = false;
-                repair.merge_broken = false;
-                repair.take_apart_serving = false;
+                repair.merge_incomplete = false;
+                repair.preempt_serving = false;
                 repair.replace_leaving = false;
             }
             Self::NoReplacement => repair.replace_leaving = false,
-            Self::NoMerge => repair.merge_broken = false,
-            Self::NoTakeApart => repair.take_apart_serving = false,
+            Self::NoMerge => repair.merge_incomplete = false,
+            Self::NoTakeApart => repair.preempt_serving = false,
         }
         GroupSettings {
             repair,
-            validity,
+            report_validity: validity,
             ..GroupSettings::default()
         }
     }
--- a/crates/sesamecart-measure/src/groups/rebuild.rs
+++ b/crates/sesamecart-measure/src/groups/rebuild.rs
@@ -8,7 +8,7 @@
 
 use super::layout::VMS_PER_GROUP;
 
-/// How long a change must hold before it is acted on; the controller's patience.
+/// How long a change must hold before it is acted on; the `grace_period` of the controller.
 const PATIENCE: Duration = Duration::from_secs(5);
 
 /// Watches fabric domains and lays them out anew after a change.
--- a/crates/sesamecart-membership/src/lib.rs
+++ b/crates/sesamecart-membership/src/lib.rs
@@ -11,6 +11,6 @@
 #[cfg(test)]
 mod tests;
 
-pub use member::{Member, Seed, Standing, Status};
+pub use member::{Liveness, Member, Seed, Status};
 pub use membership::{Membership, Message, Probe};
 pub use settings::MembershipSettings;
--- a/crates/sesamecart-membership/src/member.rs
+++ b/crates/sesamecart-membership/src/member.rs
@@ -22,7 +22,7 @@
 /// A node's liveness, as derived from its status, its history and the platform's VM list.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
 #[display(rename_all = "lowercase")]
-pub enum Standing {
+pub enum Liveness {
     /// The node may own shards.
     Live,
     /// The node responds and is shutting down.
--- a/crates/sesamecart-membership/src/membership.rs
+++ b/crates/sesamecart-membership/src/membership.rs
@@ -6,7 +6,7 @@
 use indexmap::IndexMap;
 use sesamecart_vocabulary::{Incarnation, NodeId, Timestamp};
 
-use crate::member::{Member, Seed, Standing, Status};
+use crate::member::{Liveness, Member, Seed, Status};
 use crate::peer::Peer;
 use crate::settings::MembershipSettings;
 
@@ -98,7 +98,7 @@
     ///
     /// The list lags, so its nodes are only used as seeds, and a node that it no longer shows is considered
     /// gone only if its peers also report it as down.
-    pub fn on_list(&mut self, list: impl IntoIterator<Item = Seed>, now: Timestamp) {
+    pub fn on_vm_list(&mut self, list: impl IntoIterator<Item = Seed>, now: Timestamp) {
         let list: Vec<Seed> = list.into_iter().collect();
         for (node, peer) in &mut self.peers {
             let is_listed = list.iter().any(|seed| seed.node == *node);
@@ -114,7 +114,7 @@
 
     /// Returns this node's own state, as it sends it to others.
     #[must_use]
-    pub fn me(&self) -> &Member {
+    pub fn local_member(&self) -> &Member {
         &self.me
     }
 
@@ -125,10 +125,10 @@
     }
 
     /// Returns every known node and its standing, including this node. Seeds without an update are left out.
-    pub fn members(&self, now: Timestamp) -> impl Iterator<Item = (&Member, Standing)> {
+    pub fn members(&self, now: Timestamp) -> impl Iterator<Item = (&Member, Liveness)> {
         let own_standing = match self.me.status {
-            Status::Leaving => Standing::Leaving,
-            Status::Alive | Status::Suspected | Status::Down => Standing::Live,
+            Status::Leaving => Liveness::Leaving,
+            Status::Alive | Status::Suspected | Status::Down => Liveness::Live,
         };
         let peers = self.peers.values().filter_map(move |peer| {
             let standing = peer.standing(&self.settings, now)?;
@@ -139,7 +139,7 @@
 
     /// Returns the standing of another node, if there was an update about it.
     #[must_use]
-    pub fn standing(&self, node: &NodeId, now: Timestamp) -> Option<Standing> {
+    pub fn liveness(&self, node: &NodeId, now: Timestamp) -> Option<Liveness> {
         self.peers.get(node)?.standing(&self.settings, now)
     }
 
--- a/crates/sesamecart-membership/src/peer.rs
+++ b/crates/sesamecart-membership/src/peer.rs
@@ -4,7 +4,7 @@
 
 use sesamecart_vocabulary::Timestamp;
 
-use crate::member::{Member, Seed, Standing, Status};
+use crate::member::{Liveness, Member, Seed, Status};
 use crate::settings::MembershipSettings;
 
 /// The longest hold of a node that repeatedly goes down and returns.
@@ -123,21 +123,21 @@
         &self,
         settings: &MembershipSettings,
         now: Timestamp,
-    ) -> Option<Standing> {
+    ) -> Option<Liveness> {
         let member = self.member.as_ref()?;
         let is_unlisted = self
             .unlisted_since
             .is_some_and(|since| now >= since + settings.list_lag);
         if self.down_since.is_some() && is_unlisted {
-            return Some(Standing::Gone);
+            return Some(Liveness::Gone);
         }
         if self.down_since.is_some() || now < self.hold_until {
-            return Some(Standing::Suspected);
+            return Some(Liveness::Suspected);
         }
         match member.status {
-            Status::Leaving => Some(Standing::Leaving),
-            Status::Alive | Status::Suspected => Some(Standing::Live),
-            Status::Down => Some(Standing::Suspected),
+            Status::Leaving => Some(Liveness::Leaving),
+            Status::Alive | Status::Suspected => Some(Liveness::Live),
+            Status::Down => Some(Liveness::Suspected),
         }
     }
 }
--- a/crates/sesamecart-membership/src/tests.rs
+++ b/crates/sesamecart-membership/src/tests.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use crate::Standing;
+use crate::Liveness;
 use cluster::Cluster;
 
 /// Long enough for every node to discover every other one, if all start at once.
@@ -49,7 +49,7 @@
 fn nodes_discover_each_other(count: usize) {
     let mut cluster = Cluster::new(count);
     cluster.run(JOIN_TIME, |_| {});
-    let live = cluster.count(0..count, 0..count, Standing::Live);
+    let live = cluster.count(0..count, 0..count, Liveness::Live);
     assert_eq!(live, count * count);
 }
 
@@ -74,7 +74,7 @@
         for by in [0, 2, 3, count - 1] {
             assert_eq!(
                 cluster.standing(1, by),
-                Some(Standing::Live),
+                Some(Liveness::Live),
                 "{}",
                 cluster.now
             );
@@ -91,7 +91,7 @@
         for by in [0, 2, count - 1] {
             assert_eq!(
                 cluster.standing(1, by),
-                Some(Standing::Live),
+                Some(Liveness::Live),
                 "{}",
                 cluster.now
             );
@@ -99,7 +99,7 @@
         for of in [0, 2, count - 1] {
             assert_eq!(
                 cluster.standing(of, 1),
-                Some(Standing::Live),
+                Some(Liveness::Live),
                 "{}",
                 cluster.now
             );
@@ -117,13 +117,13 @@
     let by = || survivors.iter().copied();
     let all = lost.clone().count() * survivors.len();
     cluster.run(Duration::from_secs(40), |_| {});
-    let most = cluster.count(lost.clone(), by(), Standing::Suspected);
+    let most = cluster.count(lost.clone(), by(), Liveness::Suspected);
     println!("{count} nodes: {most} of {all} detected after 40 s");
     assert!(all - most <= all / 100, "{most} of {all}");
     cluster.run(Duration::from_secs(120), |_| {});
-    assert_eq!(cluster.count(lost.clone(), by(), Standing::Suspected), all);
+    assert_eq!(cluster.count(lost.clone(), by(), Liveness::Suspected), all);
     assert_eq!(
-        cluster.count(by(), by(), Standing::Live),
+        cluster.count(by(), by(), Liveness::Live),
         survivors.len() * survivors.len()
     );
 }
@@ -137,7 +137,7 @@
         for by in [0, 2, count - 1] {
             assert_eq!(
                 cluster.standing(1, by),
-                Some(Standing::Live),
+                Some(Liveness::Live),
                 "{}",
                 cluster.now
             );
@@ -151,9 +151,9 @@
     let mut cluster = joined_cluster(count);
     cluster.pause(1, Duration::from_secs(30));
     cluster.run(Duration::from_secs(30), |_| {});
-    assert_eq!(cluster.standing(1, 0), Some(Standing::Suspected));
+    assert_eq!(cluster.standing(1, 0), Some(Liveness::Suspected));
     cluster.run(Duration::from_secs(4), |_| {});
-    assert_eq!(cluster.standing(1, 0), Some(Standing::Suspected));
+    assert_eq!(cluster.standing(1, 0), Some(Liveness::Suspected));
     cluster.run(Duration::from_secs(10), |_| {});
-    assert_eq!(cluster.standing(1, 0), Some(Standing::Live));
+    assert_eq!(cluster.standing(1, 0), Some(Liveness::Live));
 }
--- a/crates/sesamecart-membership/src/tests/cluster.rs
+++ b/crates/sesamecart-membership/src/tests/cluster.rs
@@ -8,7 +8,7 @@
 use sesamecart_links::message as wire;
 use sesamecart_vocabulary::{Incarnation, NodeId, Timestamp};
 
-use crate::{Member, Membership, MembershipSettings, Message, Seed, Standing, Status};
+use crate::{Liveness, Member, Membership, MembershipSettings, Message, Seed, Status};
 
 const TICK: Duration = Duration::from_millis(200);
 
@@ -108,7 +108,11 @@
 
     /// Sends the state of all nodes to every node.
     pub(super) fn connect_all(&mut self) {
-        let all: Vec<Member> = self.nodes.iter().map(|node| node.me().clone()).collect();
+        let all: Vec<Member> = self
+            .nodes
+            .iter()
+            .map(|node| node.local_member().clone())
+            .collect();
         for (index, node) in self.nodes.iter_mut().enumerate() {
             let sender = all[(index + 1) % all.len()].clone();
             let members = all.clone();
@@ -155,7 +159,7 @@
     }
 
     /// Returns the standing of the node `of` in the view of the node `by`.
-    pub(super) fn standing(&self, of: usize, by: usize) -> Option<Standing> {
+    pub(super) fn standing(&self, of: usize, by: usize) -> Option<Liveness> {
         let id = node_id(of);
         let mut members = self.nodes[by].members(self.now);
         members
@@ -163,12 +167,12 @@
             .map(|(_, standing)| standing)
     }
 
-    /// Counts the nodes of `of` that have this standing in the view of each node of `by`, summed over `by`.
+    /// Counts the nodes of `of` that have this liveness in the view of each node of `by`, summed over `by`.
     pub(super) fn count(
         &self,
         of: impl Iterator<Item = usize>,
         by: impl Iterator<Item = usize>,
-        standing: Standing,
+        standing: Liveness,
     ) -> usize {
         let of: IndexSet<NodeId> = of.map(node_id).collect();
         by.map(|by| {
--- a/crates/sesamecart-node/src/control/peers.rs
+++ b/crates/sesamecart-node/src/control/peers.rs
@@ -9,7 +9,7 @@
 use sesamecart_edges::{ListedVm, VmRole};
 use sesamecart_links::message::{HeartbeatReply, HeartbeatRequest, Member, ProvisionalDrain};
 use sesamecart_links::{Links, Request};
-use sesamecart_membership::Standing;
+use sesamecart_membership::Liveness;
 use sesamecart_runtime::within;
 use sesamecart_vocabulary::{FailureDomainId, Incarnation, NodeId, Offset, Revision, Timestamp};
 
@@ -120,12 +120,12 @@
     /// Returns whether heartbeats tell that a node is down.
     pub(crate) fn is_down(&self, node: &NodeId, now: Timestamp) -> bool {
         let standing = self.shared.duties.standing(node, now);
-        matches!(standing, Some(Standing::Suspected | Standing::Gone))
+        matches!(standing, Some(Liveness::Suspected | Liveness::Gone))
     }
 
     /// Returns whether a node said that it is about to go.
     pub(crate) fn is_leaving(&self, node: &NodeId, now: Timestamp) -> bool {
-        self.shared.duties.standing(node, now) == Some(Standing::Leaving)
+        self.shared.duties.standing(node, now) == Some(Liveness::Leaving)
     }
 
     /// Takes the nodes that heartbeats tell of.
--- a/crates/sesamecart-node/src/duties.rs
+++ b/crates/sesamecart-node/src/duties.rs
@@ -15,7 +15,7 @@
 use sesamecart_config::Settings;
 use sesamecart_edges::LogError;
 use sesamecart_lease::{Holder, LeaseSettings, Leases, NodeState, NodeView, Owners, View};
-use sesamecart_membership::{Member, Membership, MembershipSettings, Seed, Standing, Status};
+use sesamecart_membership::{Liveness, Member, Membership, MembershipSettings, Seed, Status};
 use sesamecart_vocabulary::{Incarnation, NodeId, SHARDS, ShardId, Timestamp, stable_hash};
 
 use crate::control::Peer;
@@ -126,8 +126,8 @@
     }
 
     /// Returns what is believed of a node, if it was ever heard of.
-    pub(crate) fn standing(&self, node: &NodeId, now: Timestamp) -> Option<Standing> {
-        self.lock().membership.standing(node, now)
+    pub(crate) fn standing(&self, node: &NodeId, now: Timestamp) -> Option<Liveness> {
+        self.lock().membership.liveness(node, now)
     }
 
     /// Returns the life of another node's process that was last heard of.
@@ -143,9 +143,9 @@
     /// Returns where the other nodes that live take links.
     pub(crate) fn living(&self, now: Timestamp) -> Vec<Peer> {
         let state = self.lock();
-        let me = &state.membership.me().node;
+        let me = &state.membership.local_member().node;
         let living = state.membership.members(now).filter(|(member, standing)| {
-            member.node != *me && matches!(standing, Standing::Live | Standing::Leaving)
+            member.node != *me && matches!(standing, Liveness::Live | Liveness::Leaving)
         });
         let peers = living.map(|(member, _)| Peer {
             node: member.node.clone(),
@@ -178,10 +178,10 @@
     fn view(&self, now: Timestamp) -> View {
         let nodes = self.membership.members(now).map(|(member, standing)| {
             let state = match standing {
-                Standing::Live => NodeState::Live,
-                Standing::Leaving => NodeState::Leaving,
-                Standing::Suspected => NodeState::Suspected,
-                Standing::Gone => NodeState::Gone,
+                Liveness::Live => NodeState::Live,
+                Liveness::Leaving => NodeState::Leaving,
+                Liveness::Suspected => NodeState::Suspected,
+                Liveness::Gone => NodeState::Gone,
             };
             let view = NodeView {
                 failure_domain: member.failure_domain.clone(),
--- a/crates/sesamecart-node/src/duties/wire.rs
+++ b/crates/sesamecart-node/src/duties/wire.rs
@@ -58,7 +58,7 @@
 impl Duties {
     /// Returns this node as others are told of it.
     pub(crate) fn me(&self) -> wire::Member {
-        to_wire(self.lock().membership.me())
+        to_wire(self.lock().membership.local_member())
     }
 
     /// Takes the answer to a heartbeat.
@@ -116,6 +116,6 @@
             })
         });
         let now = self.clock.now();
-        self.duties.lock().membership.on_list(seeds, now);
+        self.duties.lock().membership.on_vm_list(seeds, now);
     }
 }
--- a/crates/sesamecart-node/src/groups/carry.rs
+++ b/crates/sesamecart-node/src/groups/carry.rs
@@ -11,7 +11,7 @@
 use serde_json::{Value, json};
 use sesamecart_edges::{HttpClient, Log, Reuse, WeightStore, WeightStoreError, read_whole};
 use sesamecart_fold::Record;
-use sesamecart_groups::{AssignmentRequest, Event, FencedOrder, OrderAnswer, OrderKind};
+use sesamecart_groups::{AssignmentRequest, Event, FencedOrder, OrderKind, OrderOutcome};
 use sesamecart_runtime::within;
 use sesamecart_vocabulary::{Bytes as ByteSize, EndpointId, Epoch, GroupId, ModelId, VmId};
 
@@ -69,7 +69,7 @@
         let settled = self
             .shared
             .folded
-            .with(|state| assignments_of(state).has_settled(&request));
+            .with(|state| assignments_of(state).is_settled(&request));
         if settled {
             log::info!("groups: {request}.");
             return None;
@@ -91,7 +91,7 @@
             order.kind,
             order.generation
         );
-        if answer == OrderAnswer::Taken {
+        if answer == OrderOutcome::Accepted {
             let record = Record::OrderIssued {
                 endpoint,
                 epoch: order.epoch,
@@ -116,17 +116,17 @@
         self.shared.may_act(shard) == Some(epoch)
     }
 
-    async fn send_order(&self, order: &FencedOrder, peer: SocketAddr) -> OrderAnswer {
+    async fn send_order(&self, order: &FencedOrder, peer: SocketAddr) -> OrderOutcome {
         let body = Bytes::from(body_of(order).to_string());
         let request = Request::post("/orders")
             .header(http::header::HOST, peer.to_string())
             .header(sesamecart_edges::EPOCH, order.epoch.to_string())
             .body(Full::new(body));
         let Ok(request) = request else {
-            return OrderAnswer::Unclear;
+            return OrderOutcome::Unknown;
         };
         if !self.may_act(&order.group, order.epoch) {
-            return OrderAnswer::Unclear;
+            return OrderOutcome::Unknown;
         }
         // An order isn't sent again by itself: the controller reads the state first.
         let sent = self
@@ -134,18 +134,18 @@
             .send(peer, request, Reuse::Never, ORDER_LIMIT)
             .await;
         let Ok(exchange) = sent else {
-            return OrderAnswer::Unclear;
+            return OrderOutcome::Unknown;
         };
         let status = exchange.response.status();
         if status.is_success() {
-            return OrderAnswer::Taken;
+            return OrderOutcome::Accepted;
         }
         let body = read_whole(exchange.response.into_body(), MAX_ANSWER, ORDER_LIMIT).await;
         match body.map(|body| serde_json::from_slice::<StaleOrder>(&body)) {
             Ok(Ok(stale)) if status == StatusCode::CONFLICT => {
-                OrderAnswer::Fenced(stale.newest_epoch)
+                OrderOutcome::Fenced(stale.newest_epoch)
             }
-            _ => OrderAnswer::Unclear,
+            _ => OrderOutcome::Unknown,
         }
     }
 
--- a/crates/sesamecart-node/src/groups/duty.rs
+++ b/crates/sesamecart-node/src/groups/duty.rs
@@ -9,7 +9,7 @@
 use sesamecart_config::Configuration;
 use sesamecart_edges::{HttpClient, Log, VmList, VmRole, WeightStore};
 use sesamecart_fold::DrainTarget;
-use sesamecart_groups::{Controller, Effect, Event, Fleet, GroupSettings, OrderAnswer, VmState};
+use sesamecart_groups::{Controller, Effect, Event, Fleet, GroupSettings, OrderOutcome, VmState};
 use sesamecart_runtime::{Tasks, sleep};
 use sesamecart_vocabulary::{Bytes, EndpointId, Epoch, GroupId, ShardId, Timestamp, VmId};
 
@@ -271,7 +271,7 @@
             }
             Effect::Order(order) => {
                 let Some((endpoint, peer)) = self.front(&order.group) else {
-                    let answer = OrderAnswer::Unclear;
+                    let answer = OrderOutcome::Unknown;
                     let event = Event::OrderAnswered {
                         group: order.group,
                         answer,
--- a/crates/sesamecart-node/src/groups/fleet.rs
+++ b/crates/sesamecart-node/src/groups/fleet.rs
@@ -3,7 +3,7 @@
 use indexmap::IndexMap;
 use sesamecart_config::{Configuration, EndpointKind};
 use sesamecart_fold::State;
-use sesamecart_groups::{AssignedGroup, Assignments, Fleet, GroupPlan, ModelPlan, VmPlace};
+use sesamecart_groups::{AssignedGroup, Assignments, Fleet, GroupPlan, ModelPlan, VmLocation};
 use sesamecart_vocabulary::{Bytes, EndpointId, GroupId, ModelId, Weight};
 
 /// What a member is taken to load until the store has said how much it is.
@@ -13,7 +13,7 @@
 pub(super) fn fleet_of(cfg: &Configuration) -> Fleet {
     let mut fleet = Fleet::default();
     for (vm, place) in &cfg.vms {
-        let place = VmPlace {
+        let place = VmLocation {
             failure_domain: place.failure_domain.clone(),
             fabric_domain: place.fabric_domain.clone(),
         };
--- a/crates/sesamecart-node/src/groups/gate.rs
+++ b/crates/sesamecart-node/src/groups/gate.rs
@@ -122,7 +122,7 @@
             report,
             &IndexSet::new(),
             now,
-            self.settings.validity,
+            self.settings.report_validity,
         )
     }
 
