--- a/crates/sesamecart-entry/src/controller.rs
+++ b/crates/sesamecart-entry/src/controller.rs
@@ -92,7 +92,7 @@
                 (Some(_), None) => {
                     if let Some(ended) = term.take() {
                         // Names of groups must not be reused, even if the next term has the same fence.
-                        formed = ended.planner.formed();
+                        formed = ended.planner.formed_count();
                         self.state.metrics.record_unservable(0);
                         ended.tasks.cancel().await;
                     }
@@ -187,7 +187,7 @@
                 service,
                 spec,
                 directory: &directory,
-                in_traffic: self.state.is_in_traffic(),
+                has_traffic: self.state.is_in_traffic(),
                 demand: demand.as_ref(),
             };
             if is_log_due {
@@ -203,7 +203,7 @@
 }
 
 fn log_fleet_counts(state: &EntryState, planner: &Planner, input: &PlannerInput<'_>) {
-    let (models, empty) = planner.summary(input);
+    let (models, empty) = planner.summarize(input);
     for counts in models {
         state.events.write(&Event::FleetCounted {
             model: counts.model.as_str(),
@@ -234,7 +234,7 @@
     /// Logs each model that can't be served once, so that operators look for missing engines and not for a
     /// fault.
     fn log_unservable(&mut self, state: &EntryState, now: Timestamp, input: &PlannerInput<'_>) {
-        let models = self.planner.unservable(now, input.spec);
+        let models = self.planner.unservable_models(now, input.spec);
         state.metrics.record_unservable(models.len());
         let engines = input.directory.largest_fabric_domain(input.service);
         for model in &models {
@@ -260,17 +260,17 @@
             | StepOutcome::Opened { accepted: true, .. }
             | StepOutcome::Staged { accepted: true, .. } => {}
             StepOutcome::Joined { key, .. } | StepOutcome::Opened { key, .. } => {
-                self.planner.abandon(&key, now);
+                self.planner.abandon_formation(&key, now);
             }
             StepOutcome::Unreachable { key, silent } => {
-                self.planner.abandon(&key, now);
+                self.planner.abandon_formation(&key, now);
                 for endpoint in silent {
                     self.planner
                         .quarantine(endpoint, now + NO_ANSWER_QUARANTINE);
                 }
             }
             StepOutcome::Staged { endpoint, .. } => {
-                self.planner.not_loading(&endpoint);
+                self.planner.cancel_load(&endpoint);
                 self.planner
                     .quarantine(endpoint, now + LOAD_FAILURE_QUARANTINE);
             }
@@ -281,9 +281,9 @@
             } => {
                 self.in_progress.swap_remove(&key);
                 if head_has_left {
-                    self.planner.dissolved(&key);
+                    self.planner.record_dissolved(&key);
                 } else {
-                    self.planner.rest_examination(&key, now);
+                    self.planner.defer_examination(&key, now);
                 }
                 for endpoint in unconfirmed {
                     self.planner
--- a/crates/sesamecart-entry/src/controller/steps.rs
+++ b/crates/sesamecart-entry/src/controller/steps.rs
@@ -2,7 +2,7 @@
 
 use futures_util::future::join_all;
 use sesamecart_edges::HttpClient;
-use sesamecart_fleet::{Formation, GroupKey, Step, Verdict};
+use sesamecart_fleet::{Formation, GroupHealth, GroupKey, Step};
 use sesamecart_platform::{Order, OrderOutcome};
 use sesamecart_vocabulary::EndpointId;
 
@@ -81,14 +81,14 @@
         }
         Step::Dissolve(key) => {
             let probe = GroupProbe {
-                verdict: Verdict::Lost,
+                verdict: GroupHealth::Lost,
                 silent: Vec::new(),
             };
             Some(dissolve(state, engines, key, probe).await)
         }
         Step::Examine(key) => {
             let probe = watch::probe_group(state, client, &key).await;
-            if probe.verdict == Verdict::Sound {
+            if probe.verdict == GroupHealth::Healthy {
                 return Some(StepOutcome::Sound { key });
             }
             state.mark_group_lost(&key);
@@ -157,7 +157,7 @@
     let head = head_of(state, &key);
     let order = Order::Leave(key.clone());
     let head_has_left = match (&head, probe.verdict) {
-        (Some(head), Verdict::Lost | Verdict::Sound) => {
+        (Some(head), GroupHealth::Lost | GroupHealth::Healthy) => {
             is_accepted(&engines.send_order(head, &order).await)
         }
         _ => false,
--- a/crates/sesamecart-entry/src/feed/server.rs
+++ b/crates/sesamecart-entry/src/feed/server.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use futures_lite::future;
-use sesamecart_fleet::{GroupKey, Verdict};
+use sesamecart_fleet::{GroupHealth, GroupKey};
 use sesamecart_links::feed::feed_server::Feed as FeedService;
 use sesamecart_links::feed::{
     FollowReply, FollowRequest, GroupLoss, GroupVerdict, Noted, WatchLoadsRequest,
@@ -97,7 +97,7 @@
         let key = decode_group_key(&request)?;
         let verdict = self.group_prober.verdict(&key).await;
         Ok(Response::new(GroupVerdict {
-            is_sound: verdict == Verdict::Sound,
+            is_sound: verdict == GroupHealth::Healthy,
         }))
     }
 
--- a/crates/sesamecart-entry/src/follower/registry.rs
+++ b/crates/sesamecart-entry/src/follower/registry.rs
@@ -79,7 +79,7 @@
         for (id, _) in expired {
             remove(state, &mut directory, now, &id);
         }
-        directory.forget(now);
+        directory.prune(now);
         state.prune_groups(now, &directory);
         state.directory.rcu(|current| {
             // The operator topic's follower may have changed the evacuations meanwhile.
--- a/crates/sesamecart-entry/src/follower/source_follower.rs
+++ b/crates/sesamecart-entry/src/follower/source_follower.rs
@@ -182,7 +182,7 @@
 
     /// Returns a serving source that this node prefers to `source`.
     pub(super) async fn find_better_source(&self, source: Source) -> Option<Source> {
-        let preferred = self.plan().home;
+        let preferred = self.plan().preferred;
         let better = preferred.into_iter().take_while(|known| *known != source);
         for candidate in better {
             let serves = match candidate {
@@ -215,7 +215,7 @@
     sleep(PREFERRED_PROBE_INTERVAL).await;
     loop {
         let plan = plan_sources(&state.settings.node, &state.nodes.load());
-        for source in plan.home {
+        for source in plan.preferred {
             let Source::Node(address) = source else {
                 continue;
             };
--- a/crates/sesamecart-entry/src/group_prober.rs
+++ b/crates/sesamecart-entry/src/group_prober.rs
@@ -12,7 +12,7 @@
 use async_lock::OnceCell;
 use indexmap::IndexMap;
 use sesamecart_edges::HttpClient;
-use sesamecart_fleet::{GroupKey, MemberProbe, Verdict};
+use sesamecart_fleet::{GroupHealth, GroupKey, MemberProbe};
 use sesamecart_links::Links;
 use sesamecart_links::feed::GroupLoss;
 use sesamecart_runtime::within;
@@ -43,7 +43,7 @@
 #[derive(Clone, Debug)]
 struct SharedProbe {
     started_at: Timestamp,
-    verdict: Arc<OnceCell<Verdict>>,
+    verdict: Arc<OnceCell<GroupHealth>>,
 }
 
 impl GroupProber {
@@ -65,11 +65,11 @@
             // The other node may reach engines that this node can't reach.
             return is_sound && self.can_reach_head(address, key).await;
         }
-        self.verdict(key).await == Verdict::Sound
+        self.verdict(key).await == GroupHealth::Healthy
     }
 
     /// Probes the members of a group, unless a probe is in flight or its verdict is still cached.
-    pub(crate) async fn verdict(&self, key: &GroupKey) -> Verdict {
+    pub(crate) async fn verdict(&self, key: &GroupKey) -> GroupHealth {
         let cell = self.verdict_cell(key);
         let probe = async {
             let result = watch::probe_group(&self.state, &self.client, key).await;
@@ -78,7 +78,7 @@
         *cell.get_or_init(|| probe).await
     }
 
-    fn verdict_cell(&self, key: &GroupKey) -> Arc<OnceCell<Verdict>> {
+    fn verdict_cell(&self, key: &GroupKey) -> Arc<OnceCell<GroupHealth>> {
         let now = clock::now();
         let mut probes = self.probes.lock().unwrap_or_else(PoisonError::into_inner);
         probes.retain(|_, probe| now.since(probe.started_at) < VERDICT_TTL);
@@ -112,9 +112,9 @@
         let probe = watch::probe_head(&self.state, &self.client, key).await;
         let is_sound = matches!(probe, MemberProbe::Member(_));
         let verdict = if is_sound {
-            Verdict::Sound
+            GroupHealth::Healthy
         } else {
-            Verdict::HeadSilent
+            GroupHealth::HeadUnreachable
         };
         self.state.events.write(&Event::GroupExamined {
             group: &key.to_string(),
--- a/crates/sesamecart-entry/src/peer_loads.rs
+++ b/crates/sesamecart-entry/src/peer_loads.rs
@@ -59,7 +59,7 @@
         let nodes = state.nodes.load_full();
         let gone = watched.gone(&state);
         let others = nodes.len().saturating_sub(1 + gone.len());
-        state.loads().set_others(others);
+        state.loads().set_other_nodes(others);
         for peer in peers_to_watch(&state.settings.node, &nodes, &gone) {
             // A node that is added later may be nearer; peers that are already watched stay watched.
             let has_capacity = watched.0.len() < MAX_WATCHED_PEERS + gone.len();
--- a/crates/sesamecart-entry/src/peer_loads/changes.rs
+++ b/crates/sesamecart-entry/src/peer_loads/changes.rs
@@ -138,7 +138,9 @@
     fn snapshot(state: &EntryState) -> Self {
         let directory = state.directory.load();
         let loads = state.loads();
-        let own = loads.own().filter(|(id, _)| is_in_group(&directory, id));
+        let own = loads
+            .own_loads()
+            .filter(|(id, _)| is_in_group(&directory, id));
         let reports = loads.own_reports();
         let reports = reports.filter(|(id, _, _)| is_in_group(&directory, id));
         Self {
--- a/crates/sesamecart-entry/src/settings.rs
+++ b/crates/sesamecart-entry/src/settings.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use serde::Deserialize;
-use sesamecart_fleet::RetryShare;
+use sesamecart_fleet::RetryLimit;
 use sesamecart_vocabulary::{FailureDomainId, NodeId, RegionId};
 use thiserror::Error;
 
@@ -63,8 +63,8 @@
 impl OperatorBounds {
     /// Returns the retry budget that all nodes share.
     #[must_use]
-    pub const fn retry_share(&self) -> RetryShare {
-        RetryShare {
+    pub const fn retry_share(&self) -> RetryLimit {
+        RetryLimit {
             ratio: self.retry_ratio,
             burst: self.retry_burst,
         }
--- a/crates/sesamecart-entry/src/state.rs
+++ b/crates/sesamecart-entry/src/state.rs
@@ -10,8 +10,8 @@
 use indexmap::IndexMap;
 use sesamecart_edges::Connections;
 use sesamecart_fleet::{
-    Catalog, ColdAllowance, Demand, DemandBook, Directory, Endpoint, FirstEventTimeouts, Freshness,
-    GroupKey, LoadBook, PeerNode, RetryAllowance,
+    Catalog, ColdRateLimit, Demand, DemandTracker, Directory, Endpoint, FirstEventTimeouts,
+    Freshness, GroupKey, LoadTracker, PeerNode, RetryBudget,
 };
 use sesamecart_runtime::{Signal, Trigger};
 use sesamecart_vocabulary::{EndpointId, FailureDomainId, ModelId, ServiceId, Timestamp};
@@ -56,8 +56,8 @@
     upstream: ArcSwapOption<SocketAddr>,
     reads_store: AtomicBool,
     is_controller: AtomicBool,
-    pub(crate) loads: Mutex<LoadBook>,
-    demand: Mutex<DemandBook>,
+    pub(crate) loads: Mutex<LoadTracker>,
+    demand: Mutex<DemandTracker>,
     first_event_timeouts: Mutex<FirstEventTimeouts>,
     /// Notified whenever a request is sent, gets the start of its response or ends.
     pub(crate) loads_changed: Notifier,
@@ -68,8 +68,8 @@
     requests: AtomicUsize,
     loss_signals: Mutex<IndexMap<GroupKey, LossSignal>>,
     losses_reported: Mutex<IndexMap<GroupKey, Timestamp>>,
-    retries: Mutex<IndexMap<ServiceId, RetryAllowance>>,
-    cold: Mutex<IndexMap<EndpointId, ColdAllowance>>,
+    retries: Mutex<IndexMap<ServiceId, RetryBudget>>,
+    cold: Mutex<IndexMap<EndpointId, ColdRateLimit>>,
     contentions: Mutex<Contentions>,
 }
 
@@ -148,12 +148,12 @@
         directory.evacuated().iter().cloned().collect()
     }
 
-    pub(crate) fn loads(&self) -> MutexGuard<'_, LoadBook> {
+    pub(crate) fn loads(&self) -> MutexGuard<'_, LoadTracker> {
         lock(&self.loads)
     }
 
     /// Returns the demand for each model that this node has recorded.
-    pub(crate) fn demand(&self) -> MutexGuard<'_, DemandBook> {
+    pub(crate) fn demand(&self) -> MutexGuard<'_, DemandTracker> {
         lock(&self.demand)
     }
 
@@ -164,7 +164,7 @@
 
     /// Estimates the demand of the callers of all nodes for each model.
     pub(crate) fn estimated_demand(&self) -> Option<Demand> {
-        let nodes = 1 + self.loads().others();
+        let nodes = 1 + self.loads().other_nodes();
         self.demand().estimate(clock::now(), nodes)
     }
 
@@ -182,13 +182,13 @@
     pub(crate) fn is_confirmed_fresh(&self) -> bool {
         let bound = Duration::from_millis(self.settings.bounds.key_revocation_ms);
         let limit = bound.saturating_sub(KEY_REVOCATION_MARGIN);
-        self.freshness().is_confirmed_fresh(clock::now(), limit)
+        self.freshness().is_fresh(clock::now(), limit)
     }
 
     /// Returns whether the configuration may lack a change that must already be in force.
     pub(crate) fn is_configuration_outdated(&self) -> bool {
         let bound = Duration::from_millis(self.settings.bounds.configuration_ms);
-        !self.freshness().is_confirmed_fresh(clock::now(), bound)
+        !self.freshness().is_fresh(clock::now(), bound)
     }
 
     fn freshness(&self) -> Freshness {
@@ -341,7 +341,7 @@
                 .is_some_and(|at| now.since(at) > LOST_GROUP_TTL);
             !is_expired && directory.members(key).next().is_some()
         });
-        self.loads().forget(|id| directory.find(id).is_some());
+        self.loads().prune(|id| directory.find(id).is_some());
         lock(&self.cold).retain(|id, _| directory.is_cold(now, id));
         lock(&self.contentions).prune(now);
     }
--- a/crates/sesamecart-entry/src/state/budgets.rs
+++ b/crates/sesamecart-entry/src/state/budgets.rs
@@ -4,9 +4,7 @@
 use std::time::Duration;
 
 use indexmap::IndexMap;
-use sesamecart_fleet::{
-    ColdAllowance, Endpoint, FairShare, PeerNode, RetryAllowance, RetrySchedule,
-};
+use sesamecart_fleet::{ColdRateLimit, Endpoint, FairShare, PeerNode, RetryBudget, RetrySchedule};
 use sesamecart_vocabulary::{
     CustomerId, EndpointId, ModelId, NodeId, ServiceId, Timestamp, rendezvous_weight,
 };
@@ -43,7 +41,7 @@
     /// Removes customers that have sent no request for a long time.
     pub(super) fn prune(&mut self, now: Timestamp) {
         for contention in self.0.values_mut() {
-            contention.shares.tidy(now);
+            contention.shares.prune(now);
         }
     }
 }
@@ -54,9 +52,9 @@
         let now = clock::now();
         let mut contentions = lock(&self.contentions);
         let contention = contentions.get_or_default(pool);
-        contention.retries.note_placed(now);
+        contention.retries.record_placed(now);
         if let Some(customer) = customer {
-            contention.shares.note_placed(now, customer);
+            contention.shares.record_placed(now, customer);
         }
     }
 
@@ -84,7 +82,7 @@
     /// Returns whether the retry budget of a service has a retry left on this node.
     pub(crate) fn has_retry(&self, service: &ServiceId) -> bool {
         let now = clock::now();
-        self.with_retries(service, |allowance| allowance.has_left(now))
+        self.with_retries(service, |allowance| allowance.has_budget(now))
     }
 
     /// Takes a retry from the budget of a service, if there is one left.
@@ -93,11 +91,11 @@
         self.with_retries(service, |allowance| allowance.try_withdraw(now))
     }
 
-    fn with_retries<T>(&self, service: &ServiceId, f: impl FnOnce(&mut RetryAllowance) -> T) -> T {
+    fn with_retries<T>(&self, service: &ServiceId, f: impl FnOnce(&mut RetryBudget) -> T) -> T {
         let nodes = self.nodes.load().len();
         let mut retries = lock(&self.retries);
         if !retries.contains_key(service) {
-            let allowance = RetryAllowance::new(self.settings.bounds.retry_share(), nodes);
+            let allowance = RetryBudget::new(self.settings.bounds.retry_share(), nodes);
             retries.insert(service.clone(), allowance);
         }
         let allowance = &mut retries[service];
@@ -112,9 +110,9 @@
         let allowance = cold.entry(endpoint.id.clone()).or_insert_with(|| {
             let nodes = self.nodes.load();
             let rank = rank(&self.settings.node, &nodes, &endpoint.id);
-            ColdAllowance::new(now, per_s, rank, nodes.len())
+            ColdRateLimit::new(now, per_s, rank, nodes.len())
         });
-        allowance.take(now)
+        allowance.try_take(now)
     }
 }
 
--- a/crates/sesamecart-entry/src/traffic/handler.rs
+++ b/crates/sesamecart-entry/src/traffic/handler.rs
@@ -132,7 +132,7 @@
         let RouteMatch::Found(route) = catalog.route(&metadata.host, head.uri.path()) else {
             return Err(deny(Refusal::NoRoute));
         };
-        let Some(customers) = catalog.customers.as_ref().filter(|_| !route.is_open) else {
+        let Some(customers) = catalog.customers.as_ref().filter(|_| !route.is_public) else {
             return Ok(Admitted {
                 catalog,
                 route,
--- a/crates/sesamecart-entry/src/traffic/in_flight.rs
+++ b/crates/sesamecart-entry/src/traffic/in_flight.rs
@@ -41,7 +41,7 @@
         group_lost: Option<Signal>,
     ) -> Self {
         let sent_at = clock::now();
-        state.loads().sent(sent_at, &endpoint);
+        state.loads().record_sent(sent_at, &endpoint);
         state.loads_changed.notify(usize::MAX);
         Self {
             state,
@@ -75,24 +75,27 @@
     pub(crate) fn record_activity(&mut self) {
         let now = clock::now();
         if self.has_started {
-            self.state.loads().heard(now, &self.endpoint);
+            self.state.loads().record_event(now, &self.endpoint);
             return;
         }
         self.has_started = true;
-        self.state.loads().begun(now, &self.endpoint);
+        self.state.loads().record_first_event(now, &self.endpoint);
         self.state.loads_changed.notify(usize::MAX);
     }
 
     /// Records that the response was complete.
     pub(crate) fn mark_succeeded(&mut self) {
         self.has_ended = true;
-        self.state.loads().succeeded(&self.endpoint);
+        self.state.loads().record_success(&self.endpoint);
     }
 
     /// Records that the endpoint failed the request, which may eject the endpoint.
     pub(crate) fn mark_failed(&mut self) {
         self.has_ended = true;
-        let ejection_time = self.state.loads().failed(clock::now(), &self.endpoint);
+        let ejection_time = self
+            .state
+            .loads()
+            .record_failure(clock::now(), &self.endpoint);
         if let Some(ejection_time) = ejection_time {
             self.state.events.write(&Event::EndpointRests {
                 endpoint: self.endpoint.as_str(),
@@ -110,7 +113,9 @@
 
 impl Drop for InFlightRequest {
     fn drop(&mut self) {
-        self.state.loads().ended(&self.endpoint, self.has_started);
+        self.state
+            .loads()
+            .record_end(&self.endpoint, self.has_started);
         self.state.loads_changed.notify(usize::MAX);
         if self.has_ended {
             return;
--- a/crates/sesamecart-entry/src/traffic/placement.rs
+++ b/crates/sesamecart-entry/src/traffic/placement.rs
@@ -55,7 +55,7 @@
             .filter(|endpoint| !self.state.is_group_lost(endpoint))
             .collect();
         if let (true, Some(model), Some(config)) = (endpoints.is_empty(), model, service_config)
-            && !config.may_hold(model, directory.largest_fabric_domain(service))
+            && !config.can_host(model, directory.largest_fabric_domain(service))
         {
             return Err(Unavailable::Unservable);
         }
--- a/crates/sesamecart-entry/src/traffic/response.rs
+++ b/crates/sesamecart-entry/src/traffic/response.rs
@@ -47,7 +47,9 @@
         let response_head = AnswerHead::read(&head);
         if let Some(load) = response_head.load {
             let now = clock::now();
-            self.state.loads().reported(now, &in_flight.endpoint, load);
+            self.state
+                .loads()
+                .record_report(now, &in_flight.endpoint, load);
         }
         if let Some(not_run) = response_head.not_run {
             in_flight.mark_ended();
--- a/crates/sesamecart-entry/src/traffic/timeout.rs
+++ b/crates/sesamecart-entry/src/traffic/timeout.rs
@@ -114,7 +114,7 @@
     /// Returns the timeout for one attempt's response.
     fn response_timeout(&self) -> Duration {
         let time_left = self.time_left();
-        let target = self.route.latency_aim.unwrap_or(MIN_RESPONSE_TIMEOUT);
+        let target = self.route.latency_target.unwrap_or(MIN_RESPONSE_TIMEOUT);
         match self.route.delivery {
             Delivery::Idempotent => {
                 time_left.min(MIN_RESPONSE_TIMEOUT.max(target * TIMEOUT_FACTOR))
@@ -143,7 +143,7 @@
         let mut tried = attempts.clone();
         tried.tried.push(endpoint.id.clone());
         loop {
-            let is_head_active = self.state.loads().is_heard_since(sent_at, &endpoint.id);
+            let is_head_active = self.state.loads().has_event_since(sent_at, &endpoint.id);
             if !is_head_active || self.has_faster_head(&tried) {
                 if is_head_active {
                     self.state.first_event_timeouts().expire(model);
--- a/crates/sesamecart-entry/src/watch.rs
+++ b/crates/sesamecart-entry/src/watch.rs
@@ -7,7 +7,8 @@
 use futures_util::future::join_all;
 use sesamecart_edges::HttpClient;
 use sesamecart_fleet::{
-    Directory, Endpoint, Finding, GroupKey, MemberProbe, SilenceLimits, Verdict, judge,
+    Directory, Endpoint, GroupHealth, GroupKey, GroupProbes, MemberProbe, StallLimits,
+    evaluate_group,
 };
 use sesamecart_platform::report;
 use sesamecart_runtime::{Tasks, sleep};
@@ -37,7 +38,9 @@
 ) {
     loop {
         sleep(CHECK_INTERVAL).await;
-        let silent = state.loads().silent(clock::now(), SilenceLimits::default());
+        let silent = state
+            .loads()
+            .start_due_probes(clock::now(), StallLimits::default());
         if silent.is_empty() {
             continue;
         }
@@ -68,7 +71,7 @@
 /// The result of probing the members of a group.
 #[derive(Debug)]
 pub(crate) struct GroupProbe {
-    pub(crate) verdict: Verdict,
+    pub(crate) verdict: GroupHealth,
     /// The members that didn't answer, or have exited.
     pub(crate) silent: Vec<EndpointId>,
 }
@@ -81,7 +84,7 @@
 ) -> GroupProbe {
     let directory = state.directory.load_full();
     let (finding, silent) = probe_members(state, &directory, client, key).await;
-    let verdict = judge(&finding);
+    let verdict = evaluate_group(&finding);
     let others: Vec<String> = finding.others.iter().map(ToString::to_string).collect();
     state.events.write(&Event::GroupExamined {
         group: &key.to_string(),
@@ -100,7 +103,7 @@
     let directory = state.directory.load_full();
     match group_head(&directory, key) {
         Some(head) => probe_member(client, &head, key).await,
-        None => MemberProbe::Silent,
+        None => MemberProbe::Unreachable,
     }
 }
 
@@ -119,17 +122,17 @@
     directory: &Directory,
     client: &HttpClient,
     key: &GroupKey,
-) -> (Finding, Vec<EndpointId>) {
+) -> (GroupProbes, Vec<EndpointId>) {
     let members: Vec<Arc<Endpoint>> = directory.members(key).cloned().collect();
     let probes = members
         .iter()
         .map(|member| probe_member(client, member, key));
     let results = join_all(probes).await;
-    let mut head = MemberProbe::Silent;
+    let mut head = MemberProbe::Unreachable;
     let mut others = Vec::new();
     let mut silent = Vec::new();
     for (member, result) in members.iter().zip(results) {
-        if result == MemberProbe::Silent {
+        if result == MemberProbe::Unreachable {
             silent.push(member.id.clone());
         }
         if member.group.as_ref().is_some_and(|role| role.rank == 0) {
@@ -141,9 +144,9 @@
     let size = group_size(state, &members);
     others.resize(
         size.saturating_sub(1).max(others.len()),
-        MemberProbe::Silent,
+        MemberProbe::Unreachable,
     );
-    (Finding { head, others }, silent)
+    (GroupProbes { head, others }, silent)
 }
 
 fn group_size(state: &EntryState, members: &[Arc<Endpoint>]) -> usize {
@@ -171,8 +174,8 @@
             Some(role) if role.group == key.group && role.epoch == key.epoch => {
                 MemberProbe::Member(role.state)
             }
-            _ => MemberProbe::Elsewhere,
+            _ => MemberProbe::OtherMembership,
         };
     }
-    MemberProbe::Silent
+    MemberProbe::Unreachable
 }
--- a/crates/sesamecart-fleet/examples/plan.rs
+++ b/crates/sesamecart-fleet/examples/plan.rs
@@ -49,7 +49,7 @@
         service,
         spec,
         directory,
-        in_traffic,
+        has_traffic: in_traffic,
         demand: None,
     };
     let mut durations: Vec<Duration> = (0..ROUNDS)
--- a/crates/sesamecart-fleet/src/allowance.rs
+++ b/crates/sesamecart-fleet/src/allowance.rs
@@ -13,7 +13,7 @@
 
 /// The limit on the retries of all nodes together to one service.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct RetryShare {
+pub struct RetryLimit {
     /// The number of retries that each request earns.
     pub ratio: f64,
     /// The number of retries that all nodes together may send beyond that in one window.
@@ -31,8 +31,8 @@
 /// the nodes use their budgets. Without the earned retries, the budget of a node in a large deployment
 /// would be only a few retries, but the loss of a group ends more of its streams at once.
 #[derive(Clone, Copy, Debug)]
-pub struct RetryAllowance {
-    share: RetryShare,
+pub struct RetryBudget {
+    share: RetryLimit,
     saved: f64,
     max_saved: f64,
     /// The unused retries earned recently, one entry per [`SLICE_DURATION`], newest first.
@@ -56,10 +56,10 @@
 const SLICE_DURATION: Duration =
     Duration::from_millis(EARNED_LIFETIME.as_millis() as u64 / SLICE_COUNT as u64);
 
-impl RetryAllowance {
+impl RetryBudget {
     /// Creates the budget of one node in a fleet of `nodes` nodes.
     #[must_use]
-    pub fn new(share: RetryShare, nodes: usize) -> Self {
+    pub fn new(share: RetryLimit, nodes: usize) -> Self {
         let max_saved = share.burst * SHARED_FRACTION / nodes.max(1) as f64;
         Self {
             share,
@@ -83,14 +83,14 @@
     }
 
     /// Returns whether the budget allows a retry.
-    pub fn has_left(&mut self, now: Timestamp) -> bool {
+    pub fn has_budget(&mut self, now: Timestamp) -> bool {
         self.expire_earned(now);
         self.saved + self.earned.iter().sum::<f64>() >= 1.0
     }
 
     /// Withdraws one retry. Returns whether the budget allowed it.
     pub fn try_withdraw(&mut self, now: Timestamp) -> bool {
-        if !self.has_left(now) {
+        if !self.has_budget(now) {
             return false;
         }
         let mut remaining = 1.0;
@@ -121,7 +121,7 @@
 ///
 /// A cold endpoint fails if all nodes at once send it the load that it can handle when warm.
 #[derive(Clone, Copy, Debug)]
-pub struct ColdAllowance {
+pub struct ColdRateLimit {
     per_s: f64,
     saved: f64,
     refilled_at: Timestamp,
@@ -131,7 +131,7 @@
 /// rate.
 const MAX_COLD_SENDERS: usize = 5;
 
-impl ColdAllowance {
+impl ColdRateLimit {
     /// Creates the limit of the node with rank `rank` among `nodes` nodes for this endpoint. `per_s` is the
     /// rate limit of all nodes together.
     #[must_use]
@@ -150,7 +150,7 @@
     }
 
     /// Takes one request from the limit. Returns whether it allowed the request.
-    pub fn take(&mut self, now: Timestamp) -> bool {
+    pub fn try_take(&mut self, now: Timestamp) -> bool {
         let elapsed: Duration = now.since(self.refilled_at);
         self.refilled_at = now;
         self.saved = (self.saved + elapsed.as_secs_f64() * self.per_s).min(1.0);
--- a/crates/sesamecart-fleet/src/allowance/tests.rs
+++ b/crates/sesamecart-fleet/src/allowance/tests.rs
@@ -4,9 +4,9 @@
 
 use sesamecart_vocabulary::Timestamp;
 
-use super::{ColdAllowance, RetryAllowance, RetryShare};
+use super::{ColdRateLimit, RetryBudget, RetryLimit};
 
-const SHARE: RetryShare = RetryShare {
+const SHARE: RetryLimit = RetryLimit {
     ratio: 0.2,
     burst: 132.0,
 };
@@ -19,7 +19,7 @@
         let mut retried = 0;
         let mut requests = 0;
         for _ in 0..nodes {
-            let mut allowance = RetryAllowance::new(SHARE, nodes);
+            let mut allowance = RetryBudget::new(SHARE, nodes);
             for index in 0..50 {
                 let now = Timestamp::from_millis(index * 200);
                 requests += 1;
@@ -43,7 +43,7 @@
 fn bursts_of_saved_retries_stay_within_the_fleet_limit() {
     const NODES: usize = 7;
     const WINDOW_MS: u64 = 10_000;
-    let mut nodes = vec![RetryAllowance::new(SHARE, NODES); NODES];
+    let mut nodes = vec![RetryBudget::new(SHARE, NODES); NODES];
     let (mut requests, mut retries) = (Vec::new(), Vec::new());
     for ms in (0..60_000).step_by(10) {
         let now = Timestamp::from_millis(ms);
@@ -80,11 +80,11 @@
 /// anything.
 #[test]
 fn recently_earned_retries_can_be_used_at_once() {
-    let share = RetryShare {
+    let share = RetryLimit {
         ratio: 0.2,
         burst: 272.0,
     };
-    let mut allowance = RetryAllowance::new(share, 71);
+    let mut allowance = RetryBudget::new(share, 71);
     let start = Timestamp::from_millis(5_000);
     for index in 0..15 {
         allowance.deposit(start + Duration::from_millis(index * 150));
@@ -104,8 +104,8 @@
 fn requests_of_all_nodes_to_a_cold_endpoint_stay_within_its_rate() {
     let per_s = 38.0;
     for nodes in [1, 4, 7, 71] {
-        let mut shares: Vec<ColdAllowance> = (0..nodes)
-            .map(|rank| ColdAllowance::new(Timestamp::ZERO, per_s, rank, nodes))
+        let mut shares: Vec<ColdRateLimit> = (0..nodes)
+            .map(|rank| ColdRateLimit::new(Timestamp::ZERO, per_s, rank, nodes))
             .collect();
         let mut taken = Vec::new();
         for ms in 0..3_000_u64 {
@@ -113,7 +113,7 @@
             taken.extend(
                 shares
                     .iter_mut()
-                    .filter_map(|share| share.take(now).then_some(ms)),
+                    .filter_map(|share| share.try_take(now).then_some(ms)),
             );
         }
         let in_any_second = |from: u64| {
@@ -137,8 +137,8 @@
 /// A node must not accumulate the unused limit of a long idle time.
 #[test]
 fn unused_limit_for_a_cold_endpoint_does_not_accumulate() {
-    let mut share = ColdAllowance::new(Timestamp::ZERO, 38.0, 0, 7);
+    let mut share = ColdRateLimit::new(Timestamp::ZERO, 38.0, 0, 7);
     let later = Timestamp::ZERO + Duration::from_secs(60);
-    assert!(share.take(later));
-    assert!(!share.take(later));
+    assert!(share.try_take(later));
+    assert!(!share.try_take(later));
 }
--- a/crates/sesamecart-fleet/src/catalog.rs
+++ b/crates/sesamecart-fleet/src/catalog.rs
@@ -66,15 +66,15 @@
     /// The maximum time that a caller has to wait.
     pub time_limit: Option<Duration>,
     /// The promised time to an answer, or of a stream to its first event.
-    pub latency_aim: Option<Duration>,
+    pub latency_target: Option<Duration>,
     /// The promised maximum gap between two events of a stream.
-    pub pause_aim: Option<Duration>,
+    pub event_gap_target: Option<Duration>,
     /// The priority; 0 is the most urgent.
     pub priority: u8,
     /// The maximum number of endpoints to which one attempt of a caller may be sent.
     pub max_attempts: u32,
     /// Whether requests are accepted without an API key.
-    pub is_open: bool,
+    pub is_public: bool,
     /// The services that its requests are distributed over.
     pub services: Vec<WeightedService>,
 }
@@ -252,7 +252,7 @@
     /// Returns whether a fabric domain with `engines` engines has enough of them for a group of a model. A
     /// model that isn't configured needs none.
     #[must_use]
-    pub fn may_hold(&self, model: &ModelId, engines: usize) -> bool {
+    pub fn can_host(&self, model: &ModelId, engines: usize) -> bool {
         let models = self.engine.iter().flat_map(|engine| &engine.models);
         let mut models = models.filter(|known| known.model == *model);
         models.all(|known| known.group_size <= engines)
--- a/crates/sesamecart-fleet/src/catalog/tests.rs
+++ b/crates/sesamecart-fleet/src/catalog/tests.rs
@@ -16,11 +16,11 @@
         prefix: prefix.to_owned(),
         delivery: Delivery::Idempotent,
         time_limit: None,
-        latency_aim: None,
-        pause_aim: None,
+        latency_target: None,
+        event_gap_target: None,
         priority: 5,
         max_attempts: 2,
-        is_open: false,
+        is_public: false,
         services: Vec::new(),
     }
 }
--- a/crates/sesamecart-fleet/src/demand.rs
+++ b/crates/sesamecart-fleet/src/demand.rs
@@ -79,7 +79,7 @@
 /// model, so a sample shows how the work is divided among the models, and scaled by the number of nodes,
 /// roughly the total demand.
 #[derive(Clone, Debug, Default)]
-pub struct DemandBook {
+pub struct DemandTracker {
     own: IndexMap<ModelId, RequestSums>,
     /// The time of this node's first request.
     first_at: Option<Timestamp>,
@@ -88,7 +88,7 @@
     peers: IndexMap<NodeId, Demand>,
 }
 
-impl DemandBook {
+impl DemandTracker {
     /// Records a request for a model that takes `group_time` of one of its groups.
     pub fn note(
         &mut self,
--- a/crates/sesamecart-fleet/src/demand/tests.rs
+++ b/crates/sesamecart-fleet/src/demand/tests.rs
@@ -4,7 +4,7 @@
 
 use sesamecart_vocabulary::{ModelId, NodeId, Timestamp};
 
-use super::{Demand, DemandBook};
+use super::{Demand, DemandTracker};
 use crate::step_model::TokenCounts;
 
 const START: Timestamp = Timestamp(1_000_000);
@@ -24,7 +24,7 @@
 
 /// Records `per_s` requests per second that take `group_time` each, for `time` from `from` on.
 fn record_requests(
-    book: &mut DemandBook,
+    book: &mut DemandTracker,
     from: Timestamp,
     time: Duration,
     name: &str,
@@ -49,7 +49,7 @@
 
 #[test]
 fn demand_is_request_rate_times_group_time() {
-    let mut book = DemandBook::default();
+    let mut book = DemandTracker::default();
     let time = Duration::from_secs(10);
     record_requests(&mut book, START, time, "m", 50, Duration::from_millis(40));
     assert_close(book.own(START + time).groups(&model("m")), 2.0);
@@ -59,7 +59,7 @@
 /// it would give too low a rate.
 #[test]
 fn demand_is_not_underestimated_when_traffic_has_just_started() {
-    let mut book = DemandBook::default();
+    let mut book = DemandTracker::default();
     let time = Duration::from_secs(2);
     record_requests(&mut book, START, time, "m", 50, Duration::from_millis(40));
     assert_close(book.own(START + time).groups(&model("m")), 2.0);
@@ -67,7 +67,7 @@
 
 #[test]
 fn demand_decays_when_requests_stop() {
-    let mut book = DemandBook::default();
+    let mut book = DemandTracker::default();
     let time = Duration::from_secs(10);
     record_requests(&mut book, START, time, "m", 50, Duration::from_millis(40));
     let later = START + time + Duration::from_secs(9);
@@ -76,7 +76,7 @@
 
 #[test]
 fn fleet_demand_is_extrapolated_from_reporting_nodes() {
-    let mut book = DemandBook::default();
+    let mut book = DemandTracker::default();
     let time = Duration::from_secs(10);
     record_requests(&mut book, START, time, "m", 50, Duration::from_millis(10));
     for peer in ["n2", "n3"] {
@@ -96,7 +96,7 @@
 /// Groups that are moved because of the first request alone would be moved back a second later.
 #[test]
 fn demand_is_unknown_before_the_minimum_observation_time() {
-    let mut book = DemandBook::default();
+    let mut book = DemandTracker::default();
     assert_eq!(book.estimate(START, 3), None);
     book.note(START, &model("m"), Duration::from_millis(40), TOKENS);
     assert_eq!(book.estimate(START + Duration::from_millis(500), 3), None);
@@ -105,7 +105,7 @@
 
 #[test]
 fn mean_tokens_are_known_after_the_minimum_number_of_requests() {
-    let mut book = DemandBook::default();
+    let mut book = DemandTracker::default();
     let time = Duration::from_millis(40);
     book.note(START, &model("m"), time, TOKENS);
     assert_eq!(book.mean_tokens(START, &model("m")), None);
--- a/crates/sesamecart-fleet/src/directory.rs
+++ b/crates/sesamecart-fleet/src/directory.rs
@@ -46,7 +46,7 @@
     /// The members by rank, or nothing if no known endpoint has that rank.
     pub members: Vec<Option<Arc<Endpoint>>>,
     /// Whether all members are in the registry and none of them is draining.
-    pub is_sound: bool,
+    pub is_complete: bool,
 }
 
 impl GroupView {
@@ -97,7 +97,7 @@
     }
 
     /// Removes endpoints that left the registry long ago.
-    pub fn forget(&mut self, now: Timestamp) {
+    pub fn prune(&mut self, now: Timestamp) {
         self.endpoints.retain(|_, entry| {
             entry
                 .gone_at
@@ -208,16 +208,16 @@
             let group = groups.entry(key.clone()).or_insert_with(|| GroupView {
                 key,
                 members: Vec::new(),
-                is_sound: true,
+                is_complete: true,
             });
             let size = endpoint.models.first().and_then(&size).unwrap_or(0);
             let ranks = size.max(role.rank + 1).max(group.members.len());
             group.members.resize(ranks, None);
-            group.is_sound &= entry.gone_at.is_none() && endpoint.state == EndpointState::Ready;
+            group.is_complete &= entry.gone_at.is_none() && endpoint.state == EndpointState::Ready;
             group.members[role.rank] = Some(Arc::clone(endpoint));
         }
         for group in groups.values_mut() {
-            group.is_sound &= group.members.iter().all(Option::is_some);
+            group.is_complete &= group.members.iter().all(Option::is_some);
         }
         groups
     }
--- a/crates/sesamecart-fleet/src/directory/tests.rs
+++ b/crates/sesamecart-fleet/src/directory/tests.rs
@@ -95,6 +95,6 @@
     );
     directory.remove(NOW, &id("e2"));
     assert_eq!(directory.members(&group).count(), 2);
-    directory.forget(NOW + Duration::from_secs(60));
+    directory.prune(NOW + Duration::from_secs(60));
     assert_eq!(directory.members(&group).count(), 1);
 }
--- a/crates/sesamecart-fleet/src/fair_share.rs
+++ b/crates/sesamecart-fleet/src/fair_share.rs
@@ -76,7 +76,7 @@
 
 impl FairShare {
     /// Records a placed request.
-    pub fn note_placed(&mut self, now: Timestamp, customer: &CustomerId) {
+    pub fn record_placed(&mut self, now: Timestamp, customer: &CustomerId) {
         self.first_placed_at.get_or_insert(now);
         let baseline_per_s = self.baseline_per_s(now, customer);
         let has_baseline = self.has_baseline(now);
@@ -126,7 +126,7 @@
     }
 
     /// Removes customers without recent requests.
-    pub fn tidy(&mut self, now: Timestamp) {
+    pub fn prune(&mut self, now: Timestamp) {
         self.customers
             .retain(|_, share| now.since(share.refilled_at) < BASELINE_WINDOW * 4);
     }
--- a/crates/sesamecart-fleet/src/fair_share/tests.rs
+++ b/crates/sesamecart-fleet/src/fair_share/tests.rs
@@ -88,7 +88,7 @@
         if is_refused || !self.service.take(self.now) {
             return false;
         }
-        share.note_placed(self.now, &customer(index));
+        share.record_placed(self.now, &customer(index));
         true
     }
 }
@@ -195,7 +195,7 @@
     let mut share = FairShare::default();
     let start = Timestamp(1_000_000);
     for index in 0..200 {
-        share.note_placed(start + Duration::from_millis(10 * index), &customer(0));
+        share.record_placed(start + Duration::from_millis(10 * index), &customer(0));
     }
     assert!(!share.is_over_share(start + Duration::from_secs(2), &customer(0), 1.0));
     assert!(!share.is_over_share(start + Duration::from_secs(2), &customer(1), 1.0));
@@ -206,9 +206,9 @@
 fn inactive_customers_are_removed() {
     let mut share = FairShare::default();
     let start = Timestamp(1_000_000);
-    share.note_placed(start, &customer(0));
-    share.tidy(start + Duration::from_secs(60));
+    share.record_placed(start, &customer(0));
+    share.prune(start + Duration::from_secs(60));
     assert_eq!(share.customers.len(), 1);
-    share.tidy(start + Duration::from_secs(600));
+    share.prune(start + Duration::from_secs(600));
     assert!(share.customers.is_empty());
 }
--- a/crates/sesamecart-fleet/src/freshness.rs
+++ b/crates/sesamecart-fleet/src/freshness.rs
@@ -30,7 +30,7 @@
     /// Returns whether the configuration is newer than `limit`, so that requests with API keys may be
     /// admitted.
     #[must_use]
-    pub fn is_confirmed_fresh(self, now: Timestamp, limit: Duration) -> bool {
+    pub fn is_fresh(self, now: Timestamp, limit: Duration) -> bool {
         self.age(now).is_some_and(|age| age < limit)
     }
 }
--- a/crates/sesamecart-fleet/src/lib.rs
+++ b/crates/sesamecart-fleet/src/lib.rs
@@ -23,25 +23,25 @@
 #[cfg(test)]
 mod testkit;
 
-pub use allowance::{ColdAllowance, RetryAllowance, RetryShare};
+pub use allowance::{ColdRateLimit, RetryBudget, RetryLimit};
 pub use catalog::{
     Catalog, Customer, Delivery, EngineModel, EngineSpec, Limits, PathRoute, RouteMatch, Service,
     SpecProblem, WeightedService,
 };
-pub use demand::{Demand, DemandBook};
+pub use demand::{Demand, DemandTracker};
 pub use directory::{Directory, GroupKey, GroupView};
 pub use endpoint::{Endpoint, EndpointState, GroupRole, GroupState};
 pub use fair_share::FairShare;
 pub use first_event::FirstEventTimeouts;
 pub use freshness::Freshness;
-pub use loads::{Candidate, Choice, LoadBook, LoadReport, NodeLoad, Unavailable};
+pub use loads::{Candidate, Choice, LoadReport, LoadTracker, NodeLoad, Unavailable};
 pub use number::{CatalogVersion, Fence, GroupEpoch, Incarnation, OrderCount};
 pub use planner::{Formation, ModelSummary, Planner, PlannerInput, Step};
-pub use repair::{Finding, MemberProbe, Verdict, judge};
+pub use repair::{GroupHealth, GroupProbes, MemberProbe, evaluate_group};
 pub use retry_schedule::RetrySchedule;
 pub use sources::{
     MAX_WATCHED_PEERS, PeerNode, Role, Source, SourcePlan, SourceRotation, peers_to_watch,
     plan_sources, readers, standbys,
 };
-pub use stall_detector::{SilenceLimits, StallDetector};
+pub use stall_detector::{StallDetector, StallLimits};
 pub use step_model::{StepModel, TokenCounts};
--- a/crates/sesamecart-fleet/src/loads.rs
+++ b/crates/sesamecart-fleet/src/loads.rs
@@ -15,7 +15,7 @@
 use sesamecart_vocabulary::{EndpointId, NodeId, Timestamp};
 
 use crate::loads::load::Load;
-use crate::stall_detector::SilenceLimits;
+use crate::stall_detector::StallLimits;
 
 mod load;
 #[cfg(test)]
@@ -110,7 +110,7 @@
 
 /// The loads of all endpoints as known to this node.
 #[derive(Debug, Default)]
-pub struct LoadBook {
+pub struct LoadTracker {
     loads: IndexMap<EndpointId, Load>,
     /// The nodes that report their loads to this node.
     reporting_nodes: IndexSet<NodeId>,
@@ -118,7 +118,7 @@
     other_nodes: usize,
 }
 
-impl LoadBook {
+impl LoadTracker {
     /// Chooses an endpoint. `rng` returns random numbers between 0 and 1.
     ///
     /// # Errors
@@ -217,13 +217,13 @@
     }
 
     /// Sets the number of other nodes, not counting those that are considered gone.
-    pub fn set_others(&mut self, others: usize) {
+    pub fn set_other_nodes(&mut self, others: usize) {
         self.other_nodes = others;
     }
 
     /// Returns the number of other nodes, not counting those that are considered gone.
     #[must_use]
-    pub const fn others(&self) -> usize {
+    pub const fn other_nodes(&self) -> usize {
         self.other_nodes
     }
 
@@ -267,7 +267,7 @@
     }
 
     /// Returns this node's load on each endpoint where it has requests in flight.
-    pub fn own(&self) -> impl Iterator<Item = (&EndpointId, NodeLoad)> {
+    pub fn own_loads(&self) -> impl Iterator<Item = (&EndpointId, NodeLoad)> {
         let busy = self.loads.iter().filter(|(_, load)| load.in_flight > 0);
         busy.map(|(id, load)| {
             let node_load = NodeLoad {
@@ -292,7 +292,7 @@
     }
 
     /// Records that a request was sent.
-    pub fn sent(&mut self, now: Timestamp, id: &EndpointId) {
+    pub fn record_sent(&mut self, now: Timestamp, id: &EndpointId) {
         let load = self.load(id);
         load.in_flight += 1;
         load.net_sent += 1;
@@ -301,7 +301,7 @@
 
     /// Records a load report that this node received from an endpoint. It includes this node's own
     /// requests.
-    pub fn reported(&mut self, now: Timestamp, id: &EndpointId, report: LoadReport) {
+    pub fn record_report(&mut self, now: Timestamp, id: &EndpointId, report: LoadReport) {
         let load = self.load(id);
         load.apply_report(report, now);
         load.own_report = load.reported;
@@ -323,24 +323,24 @@
     }
 
     /// Records the first event of a request's answer.
-    pub fn begun(&mut self, now: Timestamp, id: &EndpointId) {
+    pub fn record_first_event(&mut self, now: Timestamp, id: &EndpointId) {
         self.load(id).stall_detector.record_first_event(now);
     }
 
     /// Returns whether any event arrived from an endpoint since a time.
     #[must_use]
-    pub fn is_heard_since(&self, at: Timestamp, id: &EndpointId) -> bool {
+    pub fn has_event_since(&self, at: Timestamp, id: &EndpointId) -> bool {
         let load = self.loads.get(id);
         load.is_some_and(|load| load.stall_detector.last_event_at() > at)
     }
 
     /// Records that an event arrived from an endpoint.
-    pub fn heard(&mut self, now: Timestamp, id: &EndpointId) {
+    pub fn record_event(&mut self, now: Timestamp, id: &EndpointId) {
         self.load(id).stall_detector.record_event(now);
     }
 
     /// Records the end of a request; `begun` is whether its first event had arrived.
-    pub fn ended(&mut self, id: &EndpointId, begun: bool) {
+    pub fn record_end(&mut self, id: &EndpointId, begun: bool) {
         let load = self.load(id);
         load.in_flight = load.in_flight.saturating_sub(1);
         load.net_sent -= 1;
@@ -348,14 +348,14 @@
     }
 
     /// Records a successful answer, which ends an ejection.
-    pub fn succeeded(&mut self, id: &EndpointId) {
+    pub fn record_success(&mut self, id: &EndpointId) {
         let load = self.load(id);
         load.failures = 0;
         load.ejected_until = Timestamp::ZERO;
     }
 
     /// Records a failure. Returns the ejection time if the endpoint is ejected.
-    pub fn failed(&mut self, now: Timestamp, id: &EndpointId) -> Option<Duration> {
+    pub fn record_failure(&mut self, now: Timestamp, id: &EndpointId) -> Option<Duration> {
         let load = self.load(id);
         load.failures += 1;
         let excess_failures = load.failures.checked_sub(FAILURES_BEFORE_EJECTION)?;
@@ -372,7 +372,7 @@
     }
 
     /// Returns the endpoints whose group members are due to be probed because no events arrive.
-    pub fn silent(&mut self, now: Timestamp, limits: SilenceLimits) -> Vec<EndpointId> {
+    pub fn start_due_probes(&mut self, now: Timestamp, limits: StallLimits) -> Vec<EndpointId> {
         let loads = self.loads.iter_mut();
         loads
             .filter_map(|(id, load)| {
@@ -384,7 +384,7 @@
     }
 
     /// Removes unknown endpoints without requests of this node or reported loads of other nodes.
-    pub fn forget(&mut self, is_known: impl Fn(&EndpointId) -> bool) {
+    pub fn prune(&mut self, is_known: impl Fn(&EndpointId) -> bool) {
         self.loads
             .retain(|id, load| load.in_flight > 0 || !load.peer_loads.is_empty() || is_known(id));
     }
--- a/crates/sesamecart-fleet/src/loads/tests.rs
+++ b/crates/sesamecart-fleet/src/loads/tests.rs
@@ -4,8 +4,8 @@
 
 use sesamecart_vocabulary::{EndpointId, NodeId, Timestamp};
 
-use super::{Candidate, LoadBook, LoadReport, NodeLoad, Unavailable};
-use crate::stall_detector::SilenceLimits;
+use super::{Candidate, LoadReport, LoadTracker, NodeLoad, Unavailable};
+use crate::stall_detector::StallLimits;
 use crate::testkit::id;
 
 const NOW: Timestamp = Timestamp(10_000_000);
@@ -31,9 +31,9 @@
 #[test]
 fn reported_load_counts_in_addition_to_own_requests() {
     let (full, free) = (id("full"), id("free"));
-    let mut loads = LoadBook::default();
-    loads.reported(NOW, &full, report(4, 0));
-    loads.reported(NOW, &free, report(1, 0));
+    let mut loads = LoadTracker::default();
+    loads.record_report(NOW, &full, report(4, 0));
+    loads.record_report(NOW, &free, report(1, 0));
     let candidates = [candidate(&full, true), candidate(&free, false)];
     let choice = loads
         .choose(NOW, &candidates, || 0.5)
@@ -46,9 +46,9 @@
 #[test]
 fn requests_sent_since_the_last_report_count() {
     let (first, second) = (id("first"), id("second"));
-    let mut loads = LoadBook::default();
-    loads.reported(NOW, &first, report(0, 0));
-    loads.reported(NOW, &second, report(1, 0));
+    let mut loads = LoadTracker::default();
+    loads.record_report(NOW, &first, report(0, 0));
+    loads.record_report(NOW, &second, report(1, 0));
     let candidates = [candidate(&first, true), candidate(&second, true)];
     let mut sent = [0, 0];
     for _ in 0..5 {
@@ -56,7 +56,7 @@
             .choose(NOW, &candidates, || 0.5)
             .expect("an endpoint has capacity");
         sent[choice.index] += 1;
-        loads.sent(NOW, candidates[choice.index].id);
+        loads.record_sent(NOW, candidates[choice.index].id);
     }
     assert_eq!(sent, [3, 2]);
 }
@@ -67,8 +67,8 @@
 #[test]
 fn a_full_report_decays_until_the_endpoint_is_tried_again() {
     let only = id("only");
-    let mut loads = LoadBook::default();
-    loads.reported(NOW, &only, report(4, 3));
+    let mut loads = LoadTracker::default();
+    loads.record_report(NOW, &only, report(4, 3));
     let candidates = [candidate(&only, true)];
     let refused = loads.choose(NOW, &candidates, || 0.5);
     assert_eq!(refused, Err(Unavailable::Full));
@@ -82,8 +82,8 @@
 #[test]
 fn an_endpoint_without_report_counts_with_the_mean_load() {
     let (known, new) = (id("known"), id("new"));
-    let mut loads = LoadBook::default();
-    loads.reported(NOW, &known, report(2, 0));
+    let mut loads = LoadTracker::default();
+    loads.record_report(NOW, &known, report(2, 0));
     let candidates = [candidate(&known, true), candidate(&new, true)];
     let choice = loads
         .choose(NOW, &candidates, || 0.5)
@@ -97,8 +97,8 @@
 #[test]
 fn requests_are_refused_at_once_when_all_endpoints_are_full() {
     let only = id("only");
-    let mut loads = LoadBook::default();
-    loads.reported(NOW, &only, report(4, 3));
+    let mut loads = LoadTracker::default();
+    loads.record_report(NOW, &only, report(4, 3));
     let refused = loads.choose(NOW, &[candidate(&only, true)], || 0.5);
     assert_eq!(refused, Err(Unavailable::Full));
     assert_eq!(loads.choose(NOW, &[], || 0.5), Err(Unavailable::NoEndpoint));
@@ -109,9 +109,9 @@
 #[test]
 fn an_endpoint_is_ejected_after_consecutive_failures() {
     let only = id("only");
-    let mut loads = LoadBook::default();
-    assert_eq!(loads.failed(NOW, &only), None);
-    let ejection_time = loads.failed(NOW, &only).expect("ejected");
+    let mut loads = LoadTracker::default();
+    assert_eq!(loads.record_failure(NOW, &only), None);
+    let ejection_time = loads.record_failure(NOW, &only).expect("ejected");
     let candidates = [candidate(&only, true)];
     assert!(loads.choose(NOW, &candidates, || 0.5).is_err());
     assert!(
@@ -119,8 +119,8 @@
             .choose(NOW + ejection_time, &candidates, || 0.5)
             .is_ok()
     );
-    assert!(loads.failed(NOW, &only).expect("ejected") > ejection_time);
-    loads.succeeded(&only);
+    assert!(loads.record_failure(NOW, &only).expect("ejected") > ejection_time);
+    loads.record_success(&only);
     assert!(loads.choose(NOW, &candidates, || 0.5).is_ok());
 }
 
@@ -129,13 +129,13 @@
 #[test]
 fn requests_stay_in_the_failure_domain_at_equal_loads() {
     let (local, remote) = (id("local"), id("remote"));
-    let mut loads = LoadBook::default();
+    let mut loads = LoadTracker::default();
     let candidates = [candidate(&remote, false), candidate(&local, true)];
     let choice = loads
         .choose(NOW, &candidates, || 0.5)
         .expect("both endpoints have capacity");
     assert_eq!(choice.index, 1);
-    loads.reported(NOW, &local, report(3, 0));
+    loads.record_report(NOW, &local, report(3, 0));
     let choice = loads
         .choose(NOW, &candidates, || 0.5)
         .expect("an endpoint has capacity");
@@ -147,26 +147,34 @@
 #[test]
 fn a_head_with_stalled_streams_is_probed() {
     let head = id("head");
-    let mut loads = LoadBook::default();
-    let limits = SilenceLimits::default();
-    loads.sent(NOW, &head);
-    loads.begun(NOW, &head);
+    let mut loads = LoadTracker::default();
+    let limits = StallLimits::default();
+    loads.record_sent(NOW, &head);
+    loads.record_first_event(NOW, &head);
     let moving = NOW + Duration::from_millis(100);
-    assert!(loads.silent(moving, limits).is_empty());
-    loads.heard(moving, &head);
+    assert!(loads.start_due_probes(moving, limits).is_empty());
+    loads.record_event(moving, &head);
     assert!(
-        loads.silent(moving + limits.streaming, limits).is_empty(),
+        loads
+            .start_due_probes(moving + limits.streaming, limits)
+            .is_empty(),
         "a single stream gets twice the limit"
     );
     let stalled = moving + limits.streaming * 2;
-    assert_eq!(loads.silent(stalled, limits), std::slice::from_ref(&head));
+    assert_eq!(
+        loads.start_due_probes(stalled, limits),
+        std::slice::from_ref(&head)
+    );
     assert!(
-        loads.silent(stalled, limits).is_empty(),
+        loads.start_due_probes(stalled, limits).is_empty(),
         "it was just probed"
     );
-    loads.ended(&head, true);
+    loads.record_end(&head, true);
     let idle = stalled + Duration::from_secs(5);
-    assert!(loads.silent(idle, limits).is_empty(), "it has no requests");
+    assert!(
+        loads.start_due_probes(idle, limits).is_empty(),
+        "it has no requests"
+    );
 }
 
 /// A healthy head that reads many long prompts sends no events for a second. If every node probed its
@@ -174,21 +182,21 @@
 #[test]
 fn probes_of_a_head_without_events_back_off() {
     let head = id("head");
-    let mut loads = LoadBook::default();
-    let limits = SilenceLimits::default();
-    loads.sent(NOW, &head);
-    loads.begun(NOW, &head);
-    let count_probes = |loads: &mut LoadBook, from: Timestamp, ms: u64| {
+    let mut loads = LoadTracker::default();
+    let limits = StallLimits::default();
+    loads.record_sent(NOW, &head);
+    loads.record_first_event(NOW, &head);
+    let count_probes = |loads: &mut LoadTracker, from: Timestamp, ms: u64| {
         let times = (0..ms)
             .step_by(10)
             .map(|ms| from + Duration::from_millis(ms));
         times
-            .filter(|now| !loads.silent(*now, limits).is_empty())
+            .filter(|now| !loads.start_due_probes(*now, limits).is_empty())
             .count()
     };
     assert_eq!(count_probes(&mut loads, NOW, 2_000), 3);
     let moving = NOW + Duration::from_millis(2_000);
-    loads.heard(moving, &head);
+    loads.record_event(moving, &head);
     assert_eq!(
         count_probes(&mut loads, moving, 400),
         1,
@@ -202,13 +210,13 @@
 #[test]
 fn a_head_without_waiting_prompts_is_preferred_over_one_with_fewer_requests() {
     let (reading, decoding) = (id("reading"), id("decoding"));
-    let mut loads = LoadBook::default();
+    let mut loads = LoadTracker::default();
     for _ in 0..2 {
-        loads.sent(NOW, &reading);
+        loads.record_sent(NOW, &reading);
     }
     for _ in 0..3 {
-        loads.sent(NOW, &decoding);
-        loads.begun(NOW, &decoding);
+        loads.record_sent(NOW, &decoding);
+        loads.record_first_event(NOW, &decoding);
     }
     let candidates = [candidate(&reading, true), candidate(&decoding, true)];
     let choice = loads
@@ -223,8 +231,8 @@
 fn loads_reported_by_other_nodes_count_at_once() {
     let (busy, free) = (id("busy"), id("free"));
     let other = "other".parse().expect("valid name");
-    let mut loads = LoadBook::default();
-    loads.set_others(1);
+    let mut loads = LoadTracker::default();
+    loads.set_other_nodes(1);
     let node_load = NodeLoad {
         in_flight: 2,
         waiting: 2,
@@ -243,8 +251,8 @@
 fn loads_of_a_removed_node_no_longer_count() {
     let (formerly_busy, free) = (id("busy"), id("free"));
     let other = "other".parse().expect("valid name");
-    let mut loads = LoadBook::default();
-    loads.set_others(1);
+    let mut loads = LoadTracker::default();
+    loads.set_other_nodes(1);
     let node_load = NodeLoad {
         in_flight: 7,
         waiting: 7,
@@ -264,11 +272,11 @@
 fn endpoint_reports_decide_if_few_nodes_report_their_loads() {
     let (full, free) = (id("full"), id("free"));
     let other = "other".parse().expect("valid name");
-    let mut loads = LoadBook::default();
-    loads.set_others(7);
+    let mut loads = LoadTracker::default();
+    loads.set_other_nodes(7);
     loads.mark_reporting(&other);
-    loads.reported(NOW, &full, report(4, 0));
-    loads.reported(NOW, &free, report(0, 0));
+    loads.record_report(NOW, &full, report(4, 0));
+    loads.record_report(NOW, &free, report(0, 0));
     let candidates = [candidate(&full, true), candidate(&free, true)];
     let choice = loads
         .choose(NOW, &candidates, || 0.5)
@@ -281,8 +289,8 @@
 #[test]
 fn unreachable_nodes_count_with_the_mean_load_of_reachable_ones() {
     let head = id("head");
-    let mut loads = LoadBook::default();
-    loads.set_others(4);
+    let mut loads = LoadTracker::default();
+    loads.set_other_nodes(4);
     for name in ["n1", "n2"] {
         let node_load = NodeLoad {
             in_flight: 2,
@@ -300,9 +308,9 @@
 fn a_newer_report_from_a_peer_replaces_the_own_one() {
     let (first, second) = (id("first"), id("second"));
     let candidates = [candidate(&first, true), candidate(&second, true)];
-    let mut loads = LoadBook::default();
-    loads.reported(NOW, &first, report(0, 0));
-    loads.reported(NOW, &second, report(2, 0));
+    let mut loads = LoadTracker::default();
+    loads.record_report(NOW, &first, report(0, 0));
+    loads.record_report(NOW, &second, report(2, 0));
     let later = NOW + Duration::from_millis(300);
     loads.apply_peer_report(&first, report(4, 0), later);
     loads.apply_peer_report(&second, report(4, 2), NOW - Duration::from_millis(1));
@@ -314,8 +322,8 @@
 #[test]
 fn only_reports_received_directly_are_forwarded() {
     let (first, second) = (id("first"), id("second"));
-    let mut loads = LoadBook::default();
-    loads.reported(NOW, &first, report(1, 0));
+    let mut loads = LoadTracker::default();
+    loads.record_report(NOW, &first, report(1, 0));
     loads.apply_peer_report(&second, report(2, 0), NOW);
     let own: Vec<_> = loads.own_reports().collect();
     assert_eq!(own, [(&first, report(1, 0), NOW)]);
@@ -327,12 +335,12 @@
 fn a_burst_between_reports_is_refused() {
     let (first, second) = (id("first"), id("second"));
     let candidates = [candidate(&first, true), candidate(&second, true)];
-    let mut loads = LoadBook::default();
-    loads.set_others(59);
+    let mut loads = LoadTracker::default();
+    loads.set_other_nodes(59);
     let peer: NodeId = "n2".parse().expect("valid name");
     loads.mark_reporting(&peer);
-    loads.reported(NOW, &first, report(2, 0));
-    loads.reported(NOW, &second, report(2, 0));
+    loads.record_report(NOW, &first, report(2, 0));
+    loads.record_report(NOW, &second, report(2, 0));
     assert!(loads.choose(NOW, &candidates, || 0.5).is_ok());
     let node_load = NodeLoad {
         in_flight: 1,
@@ -342,7 +350,7 @@
     let choice = loads.choose(NOW, &candidates, || 0.5);
     assert_eq!(choice, Err(Unavailable::Full));
     let later = NOW + Duration::from_millis(200);
-    loads.reported(later, &first, report(3, 0));
+    loads.record_report(later, &first, report(3, 0));
     assert!(loads.choose(later, &candidates, || 0.5).is_ok());
 }
 
@@ -352,12 +360,12 @@
 fn unreachable_heads_do_not_count_as_capacity() {
     let (reachable, unreachable) = (id("reachable"), id("unreachable"));
     let candidates = [candidate(&reachable, true), candidate(&unreachable, true)];
-    let mut loads = LoadBook::default();
-    loads.set_others(59);
+    let mut loads = LoadTracker::default();
+    loads.set_other_nodes(59);
     loads.mark_reporting(&"n2".parse().expect("valid name"));
-    loads.reported(NOW, &unreachable, report(4, 0));
+    loads.record_report(NOW, &unreachable, report(4, 0));
     let later = NOW + Duration::from_secs(2);
-    loads.reported(later, &reachable, report(4, 3));
+    loads.record_report(later, &reachable, report(4, 3));
     let choice = loads.choose(later, &candidates, || 0.5);
     assert_eq!(choice, Err(Unavailable::Full));
 }
@@ -368,10 +376,10 @@
 fn reports_do_not_decay_in_the_total_over_heads() {
     let (reachable, unreachable) = (id("reachable"), id("unreachable"));
     let candidates = [candidate(&reachable, true), candidate(&unreachable, true)];
-    let mut loads = LoadBook::default();
-    loads.set_others(59);
+    let mut loads = LoadTracker::default();
+    loads.set_other_nodes(59);
     loads.mark_reporting(&"n2".parse().expect("valid name"));
-    loads.reported(NOW, &reachable, report(4, 3));
+    loads.record_report(NOW, &reachable, report(4, 3));
     let later = NOW + Duration::from_millis(800);
     let choice = loads.choose(later, &candidates, || 0.5);
     assert_eq!(choice, Err(Unavailable::Full));
--- a/crates/sesamecart-fleet/src/planner.rs
+++ b/crates/sesamecart-fleet/src/planner.rs
@@ -116,7 +116,7 @@
     /// All known endpoints.
     pub directory: &'a Directory,
     /// Whether the first request has arrived. From then on, loads take their full time and are rate-limited.
-    pub in_traffic: bool,
+    pub has_traffic: bool,
     /// The observed demand for each model, once it is known.
     pub demand: Option<&'a Demand>,
 }
@@ -179,7 +179,7 @@
 
     /// Returns the number of groups that have been named under the current fencing token.
     #[must_use]
-    pub const fn formed(&self) -> u64 {
+    pub const fn formed_count(&self) -> u64 {
         self.formed_count
     }
 
@@ -208,13 +208,13 @@
     /// callers on their side of the partition. Members that still report the group aren't free, however long
     /// they have been silent: if they joined other groups, they would be in two groups at once when the
     /// partition heals.
-    pub fn rest_examination(&mut self, key: &GroupKey, now: Timestamp) {
+    pub fn defer_examination(&mut self, key: &GroupKey, now: Timestamp) {
         self.examined
             .insert(key.clone(), now + UNREACHABLE_HEAD_COOLDOWN);
     }
 
     /// Records that a group was dissolved, so that its members may join other groups.
-    pub fn dissolved(&mut self, key: &GroupKey) {
+    pub fn record_dissolved(&mut self, key: &GroupKey) {
         self.formations.swap_remove(key);
         self.dissolved.insert(key.clone());
     }
@@ -223,7 +223,7 @@
     ///
     /// Some members may have joined, and the head may even have opened. The group therefore isn't assumed to
     /// be gone: it is dissolved like any other group whose formation nobody is driving.
-    pub fn abandon(&mut self, key: &GroupKey, now: Timestamp) {
+    pub fn abandon_formation(&mut self, key: &GroupKey, now: Timestamp) {
         let Some(formation) = self.formations.swap_remove(key) else {
             return;
         };
@@ -234,7 +234,7 @@
     }
 
     /// Records that the load of an engine wasn't started.
-    pub fn not_loading(&mut self, endpoint: &EndpointId) {
+    pub fn cancel_load(&mut self, endpoint: &EndpointId) {
         self.loading.swap_remove(endpoint);
     }
 
@@ -298,7 +298,7 @@
         }
         for (key, timed_out) in ended {
             if timed_out {
-                self.abandon(&key, now);
+                self.abandon_formation(&key, now);
             } else {
                 self.formations.swap_remove(&key);
             }
@@ -324,7 +324,7 @@
             let members = group.members.iter().flatten();
             grouped.extend(members.map(|member| member.id.clone()));
             match group.head_state() {
-                Some(GroupState::Open) if group.is_sound => {
+                Some(GroupState::Open) if group.is_complete => {
                     if self.conversions.is_retiring(key) && self.begin_step_if_due(now, key) {
                         steps.push(Step::Close(key.clone()));
                     }
--- a/crates/sesamecart-fleet/src/planner/conversion.rs
+++ b/crates/sesamecart-fleet/src/planner/conversion.rs
@@ -88,7 +88,7 @@
         free: &IndexMap<FabricDomainId, Vec<&Arc<Endpoint>>>,
         steps: &mut Vec<Step>,
     ) {
-        if !input.in_traffic || input.demand.is_none() || input.spec.models.len() < 2 {
+        if !input.has_traffic || input.demand.is_none() || input.spec.models.len() < 2 {
             return;
         }
         let mut provisioning = self.provisioning(input);
--- a/crates/sesamecart-fleet/src/planner/domains.rs
+++ b/crates/sesamecart-fleet/src/planner/domains.rs
@@ -181,13 +181,17 @@
     ) -> bool {
         let sizes = input.spec.models.iter().map(|model| model.group_size);
         let largest_group = sizes.max().unwrap_or(0);
-        input.in_traffic || self.domain_sizes.is_complete(now, domain, largest_group)
+        input.has_traffic || self.domain_sizes.is_complete(now, domain, largest_group)
     }
 
     /// Returns the models that can't be served because no fabric domain has enough engines for a group of
     /// them.
     #[must_use]
-    pub fn unservable<'a>(&self, now: Timestamp, spec: &'a EngineSpec) -> Vec<&'a EngineModel> {
+    pub fn unservable_models<'a>(
+        &self,
+        now: Timestamp,
+        spec: &'a EngineSpec,
+    ) -> Vec<&'a EngineModel> {
         if !self.domain_sizes.is_stable(now) {
             return Vec::new();
         }
--- a/crates/sesamecart-fleet/src/planner/forming.rs
+++ b/crates/sesamecart-fleet/src/planner/forming.rs
@@ -137,7 +137,7 @@
                 self.record_load(now, input, id, model);
             }
         }
-        let margin = if input.in_traffic {
+        let margin = if input.has_traffic {
             JOIN_TIMEOUT_MARGIN
         } else {
             // The first loads take a tenth of their usual time, but many at once slow each other down.
@@ -196,7 +196,7 @@
         let keeps_spares = assigned_size.is_some_and(|size| {
             engines.len() >= size || size >= model.group_size * SPARE_RESERVATION_RATIO
         });
-        if input.in_traffic || (!is_own_model && keeps_spares) {
+        if input.has_traffic || (!is_own_model && keeps_spares) {
             return Feasibility::Impossible;
         }
         let overcommit = (model.group_size as f64 * LOAD_OVERCOMMIT_FRACTION) as usize;
--- a/crates/sesamecart-fleet/src/planner/loading.rs
+++ b/crates/sesamecart-fleet/src/planner/loading.rs
@@ -89,7 +89,7 @@
     /// which is enough to serve the first requests, the others start to load together. If they waited their
     /// turn, they would still be loading seconds after traffic starts.
     pub(super) fn is_load_limit_lifted(&self, input: &PlannerInput<'_>) -> bool {
-        if input.in_traffic {
+        if input.has_traffic {
             return false;
         }
         let total = engines(input).count();
@@ -108,7 +108,7 @@
         free: &IndexMap<FabricDomainId, Vec<&Arc<Endpoint>>>,
         steps: &mut Vec<Step>,
     ) {
-        let waits_for_groups = !input.in_traffic && !self.is_load_limit_lifted(input);
+        let waits_for_groups = !input.has_traffic && !self.is_load_limit_lifted(input);
         if waits_for_groups && (self.is_forming() || !self.domain_sizes.is_stable(now)) {
             // Leftover engines are loaded after whole groups, or when no group can be formed. If they weren't
             // loaded at all, the first requests would find them empty, and loads take ten times longer from
@@ -128,7 +128,7 @@
             if self.loading.contains_key(&engine.id) {
                 continue;
             }
-            if input.in_traffic && self.recent_load_starts.len() >= max_load_starts(input) {
+            if input.has_traffic && self.recent_load_starts.len() >= max_load_starts(input) {
                 return;
             }
             self.record_load(now, input, &engine.id, model);
@@ -228,7 +228,7 @@
         endpoint: &EndpointId,
         model: &EngineModel,
     ) {
-        if input.in_traffic {
+        if input.has_traffic {
             self.recent_load_starts.push_back(now);
         }
         let load = Load {
@@ -240,7 +240,7 @@
 }
 
 fn load_duration(input: &PlannerInput<'_>, model: &EngineModel) -> Duration {
-    if input.in_traffic {
+    if input.has_traffic {
         model.load_time
     } else {
         model.load_time / EARLY_LOAD_SPEEDUP
--- a/crates/sesamecart-fleet/src/planner/summary.rs
+++ b/crates/sesamecart-fleet/src/planner/summary.rs
@@ -26,7 +26,7 @@
 impl Planner {
     /// Counts the groups and engines of each model, and the engines that neither hold nor load a model.
     #[must_use]
-    pub fn summary(&self, input: &PlannerInput<'_>) -> (Vec<ModelSummary>, usize) {
+    pub fn summarize(&self, input: &PlannerInput<'_>) -> (Vec<ModelSummary>, usize) {
         let mut empty = 0;
         let models = input.spec.models.iter();
         let mut summaries: Vec<ModelSummary> = models
--- a/crates/sesamecart-fleet/src/planner/tests.rs
+++ b/crates/sesamecart-fleet/src/planner/tests.rs
@@ -37,7 +37,7 @@
         service: &service,
         spec: &spec,
         directory,
-        in_traffic,
+        has_traffic: in_traffic,
         demand: None,
     };
     planner.plan(now, &input)
@@ -141,7 +141,7 @@
         service: &service(),
         spec: &spec,
         directory: &directory,
-        in_traffic: false,
+        has_traffic: false,
         demand: None,
     };
     let steps = Planner::new(Fence(1), 0).plan(START, &input);
@@ -355,7 +355,7 @@
         other => panic!("no group was formed: {other:?}"),
     };
     let before = named(&plan(&mut first, START, &directory, true));
-    let mut second = Planner::new(Fence(4), first.formed());
+    let mut second = Planner::new(Fence(4), first.formed_count());
     let after = named(&plan(&mut second, START, &directory, true));
     assert_ne!(before, after);
     assert!(after.epoch > before.epoch);
@@ -391,7 +391,7 @@
         service: &service,
         spec: &spec,
         directory: &directory,
-        in_traffic: true,
+        has_traffic: true,
         demand: None,
     };
     let steps = Planner::new(Fence(1), 0).plan(START, &input);
@@ -428,7 +428,7 @@
         service: &service(),
         spec: &spec,
         directory: &directory,
-        in_traffic: true,
+        has_traffic: true,
         demand: None,
     };
     let steps = Planner::new(Fence(1), 0).plan(START, &input);
--- a/crates/sesamecart-fleet/src/planner/tests/domains.rs
+++ b/crates/sesamecart-fleet/src/planner/tests/domains.rs
@@ -109,7 +109,7 @@
                 service: &service(),
                 spec: &self.spec,
                 directory: &directory,
-                in_traffic: self.in_traffic,
+                has_traffic: self.in_traffic,
                 demand: self.demand.as_ref(),
             };
             for step in self.planner.plan(self.now, &input) {
@@ -151,7 +151,7 @@
                         engine.group = None;
                     }
                 }
-                self.planner.dissolved(&key);
+                self.planner.record_dissolved(&key);
             }
             Step::Examine(_) => {}
         }
--- a/crates/sesamecart-fleet/src/planner/tests/loading.rs
+++ b/crates/sesamecart-fleet/src/planner/tests/loading.rs
@@ -50,7 +50,7 @@
         service: &service(),
         spec,
         directory: &directory,
-        in_traffic: true,
+        has_traffic: true,
         demand: None,
     };
     let steps = planner.plan(START, &input);
@@ -98,7 +98,7 @@
         service: &service(),
         spec: &spec,
         directory: &known,
-        in_traffic: true,
+        has_traffic: true,
         demand: None,
     };
     let mut planner = Planner::new(Fence(1), 0);
--- a/crates/sesamecart-fleet/src/repair.rs
+++ b/crates/sesamecart-fleet/src/repair.rs
@@ -15,18 +15,18 @@
     Member(GroupState),
     /// The member answers but belongs to a different membership or none.
     #[display("in another group")]
-    Elsewhere,
+    OtherMembership,
     /// The member doesn't answer or refuses the connection.
     ///
     /// An endpoint that shuts down stops listening while it still finishes its requests, so a refused
     /// connection is no more evidence than a timeout.
     #[display("silent")]
-    Silent,
+    Unreachable,
 }
 
 /// The probe results of a group's members.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Finding {
+pub struct GroupProbes {
     /// The result for the head.
     pub head: MemberProbe,
     /// The results for the other members. A member with an unknown address counts as silent.
@@ -35,17 +35,17 @@
 
 /// The state of a group, derived from its probes.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
-pub enum Verdict {
+pub enum GroupHealth {
     /// The group serves or may serve soon.
     #[display("sound")]
-    Sound,
+    Healthy,
     /// The group can't serve any more. Its head answers and can be ordered to leave.
     #[display("lost, its head answers")]
     Lost,
     /// The group can't serve any more, and its head can't be reached. The head may be stalled or finishing
     /// its requests.
     #[display("lost, its head is silent")]
-    HeadSilent,
+    HeadUnreachable,
 }
 
 /// Determines the state of a group.
@@ -54,18 +54,18 @@
 /// they would be in two groups at once. Therefore groups whose head can be ordered to leave are
 /// distinguished from groups whose members have to leave by themselves.
 #[must_use]
-pub fn judge(finding: &Finding) -> Verdict {
+pub fn evaluate_group(finding: &GroupProbes) -> GroupHealth {
     match finding.head {
-        MemberProbe::Silent => Verdict::HeadSilent,
-        MemberProbe::Elsewhere | MemberProbe::Member(GroupState::Broken) => Verdict::Lost,
+        MemberProbe::Unreachable => GroupHealth::HeadUnreachable,
+        MemberProbe::OtherMembership | MemberProbe::Member(GroupState::Broken) => GroupHealth::Lost,
         MemberProbe::Member(_) => {
             let is_complete = finding.others.iter().all(
                 |other| matches!(other, MemberProbe::Member(state) if *state != GroupState::Broken),
             );
             if is_complete {
-                Verdict::Sound
+                GroupHealth::Healthy
             } else {
-                Verdict::Lost
+                GroupHealth::Lost
             }
         }
     }
--- a/crates/sesamecart-fleet/src/repair/tests.rs
+++ b/crates/sesamecart-fleet/src/repair/tests.rs
@@ -1,6 +1,6 @@
 //! Tests the verdict on a group for the results of probing its members.
 
-use super::{Finding, MemberProbe, Verdict, judge};
+use super::{GroupHealth, GroupProbes, MemberProbe, evaluate_group};
 use crate::endpoint::GroupState;
 
 const OPEN: MemberProbe = MemberProbe::Member(GroupState::Open);
@@ -12,21 +12,21 @@
         $(
             #[test]
             fn $name() {
-                let finding = Finding { head: $head, others: $others.to_vec() };
-                assert_eq!(judge(&finding), $verdict);
+                let finding = GroupProbes { head: $head, others: $others.to_vec() };
+                assert_eq!(evaluate_group(&finding), $verdict);
             }
         )*
     };
 }
 
 verdicts! {
-    a_complete_group_is_sound: OPEN, [READY, READY] => Verdict::Sound;
-    a_group_of_one_is_sound: OPEN, [] => Verdict::Sound;
-    a_group_with_a_silent_member_is_lost: OPEN, [READY, MemberProbe::Silent] => Verdict::Lost;
-    a_group_with_a_member_in_another_group_is_lost: OPEN, [MemberProbe::Elsewhere] => Verdict::Lost;
-    a_group_with_a_broken_member_is_lost: OPEN, [BROKEN] => Verdict::Lost;
-    a_group_with_a_broken_head_is_lost: BROKEN, [READY] => Verdict::Lost;
-    a_group_whose_head_is_in_another_group_is_lost: MemberProbe::Elsewhere, [READY] => Verdict::Lost;
+    a_complete_group_is_sound: OPEN, [READY, READY] => GroupHealth::Healthy;
+    a_group_of_one_is_sound: OPEN, [] => GroupHealth::Healthy;
+    a_group_with_a_silent_member_is_lost: OPEN, [READY, MemberProbe::Unreachable] => GroupHealth::Lost;
+    a_group_with_a_member_in_another_group_is_lost: OPEN, [MemberProbe::OtherMembership] => GroupHealth::Lost;
+    a_group_with_a_broken_member_is_lost: OPEN, [BROKEN] => GroupHealth::Lost;
+    a_group_with_a_broken_head_is_lost: BROKEN, [READY] => GroupHealth::Lost;
+    a_group_whose_head_is_in_another_group_is_lost: MemberProbe::OtherMembership, [READY] => GroupHealth::Lost;
 }
 
 /// An engine that shuts down without notice stops listening while it still finishes its requests. When its
@@ -34,9 +34,9 @@
 /// engines of two groups.
 #[test]
 fn an_unreachable_head_is_not_assumed_to_have_stopped() {
-    let finding = Finding {
-        head: MemberProbe::Silent,
+    let finding = GroupProbes {
+        head: MemberProbe::Unreachable,
         others: vec![READY, READY],
     };
-    assert_eq!(judge(&finding), Verdict::HeadSilent);
+    assert_eq!(evaluate_group(&finding), GroupHealth::HeadUnreachable);
 }
--- a/crates/sesamecart-fleet/src/retry_schedule.rs
+++ b/crates/sesamecart-fleet/src/retry_schedule.rs
@@ -44,7 +44,7 @@
 
 impl RetrySchedule {
     /// Records a placed request.
-    pub fn note_placed(&mut self, now: Timestamp) {
+    pub fn record_placed(&mut self, now: Timestamp) {
         self.placed.record(now, 1.0);
     }
 
--- a/crates/sesamecart-fleet/src/retry_schedule/tests.rs
+++ b/crates/sesamecart-fleet/src/retry_schedule/tests.rs
@@ -56,7 +56,7 @@
     while let Some(Reverse((now, first_at, retries_left))) = arrivals.pop() {
         let node = &mut nodes[rng.usize(..NODES)];
         if service.take(now) {
-            node.note_placed(now);
+            node.record_placed(now);
             outcome.served += 1;
             continue;
         }
@@ -112,7 +112,7 @@
 fn delays_grow_with_the_number_of_refused_callers() {
     let mut schedule = RetrySchedule::default();
     for index in 0..300 {
-        schedule.note_placed(START + Duration::from_millis(10 * index));
+        schedule.record_placed(START + Duration::from_millis(10 * index));
     }
     let now = START + Duration::from_secs(3);
     let delays: Vec<Duration> = (0..100).map(|_| schedule.schedule(now, 0.5)).collect();
--- a/crates/sesamecart-fleet/src/sources.rs
+++ b/crates/sesamecart-fleet/src/sources.rs
@@ -66,7 +66,7 @@
     /// All sources, in the order in which they are tried.
     pub order: Vec<Source>,
     /// The preferred sources, to which the node returns from any other one as soon as they serve again.
-    pub home: Vec<Source>,
+    pub preferred: Vec<Source>,
 }
 
 /// The maximum number of nodes whose loads a node watches.
@@ -109,7 +109,7 @@
         return SourcePlan {
             role: Role::Reader,
             order: vec![Source::Store],
-            home: vec![Source::Store],
+            preferred: vec![Source::Store],
         };
     };
     let mut remote = Vec::new();
@@ -133,7 +133,7 @@
         return SourcePlan {
             role: Role::Reader,
             order: std::iter::once(Source::Store).chain(others).collect(),
-            home: vec![Source::Store],
+            preferred: vec![Source::Store],
         };
     }
     if local.standby == Some(me) {
@@ -141,14 +141,14 @@
         return SourcePlan {
             role: Role::Standby,
             order: reader.into_iter().chain(others).collect(),
-            home: reader.into_iter().collect(),
+            preferred: reader.into_iter().collect(),
         };
     }
     let others = remote.chain(standby).chain([Source::Store]);
     SourcePlan {
         role: Role::Follower,
         order: reader.into_iter().chain(others).collect(),
-        home: reader.into_iter().chain(standby).collect(),
+        preferred: reader.into_iter().chain(standby).collect(),
     }
 }
 
--- a/crates/sesamecart-fleet/src/sources/tests.rs
+++ b/crates/sesamecart-fleet/src/sources/tests.rs
@@ -80,7 +80,7 @@
         .collect();
     assert_eq!(is_local, [true, false, false, true, false], "{plan:?}");
     assert_eq!(plan.order.last(), Some(&Source::Store));
-    assert_eq!(plan.home, [plan.order[0], plan.order[3]]);
+    assert_eq!(plan.preferred, [plan.order[0], plan.order[3]]);
     let first: IndexSet<Source> = plans(&nodes, Role::Follower)
         .iter()
         .map(|(_, plan)| plan.order[1])
@@ -98,7 +98,7 @@
     let nodes = fleet(3, 10);
     for (_, plan) in plans(&nodes, Role::Standby) {
         assert_eq!(plan.order[1], Source::Store);
-        assert_eq!(plan.home, plan.order[..1]);
+        assert_eq!(plan.preferred, plan.order[..1]);
     }
 }
 
--- a/crates/sesamecart-fleet/src/stall_detector.rs
+++ b/crates/sesamecart-fleet/src/stall_detector.rs
@@ -11,7 +11,7 @@
 /// harmless, so the limits are just above the longest pause of a healthy head: seven steps with a full
 /// prompt chunk each.
 #[derive(Clone, Copy, Debug)]
-pub struct SilenceLimits {
+pub struct StallLimits {
     /// The limit for a head with many running streams; it is twice as long for a single stream.
     ///
     /// All streams of a head advance in the same pass, but with fewer streams of its own, a node can
@@ -25,7 +25,7 @@
     pub probe_interval: Duration,
 }
 
-impl Default for SilenceLimits {
+impl Default for StallLimits {
     fn default() -> Self {
         Self {
             streaming: Duration::from_millis(160),
@@ -94,7 +94,7 @@
     }
 
     /// Returns whether a probe of the members is due, and records it as started.
-    pub fn start_due_probe(&mut self, now: Timestamp, limits: SilenceLimits) -> bool {
+    pub fn start_due_probe(&mut self, now: Timestamp, limits: StallLimits) -> bool {
         let limit = match (self.streaming, self.waiting) {
             (0, 0) => return false,
             (0, _) => limits.waiting,
