--- a/crates/sesamecart-entry/src/controller/engines.rs
+++ b/crates/sesamecart-entry/src/controller/engines.rs
@@ -7,7 +7,7 @@
 use indexmap::IndexMap;
 use sesamecart_edges::HttpClient;
 use sesamecart_fleet::{Endpoint, Fence, GroupRole, Incarnation, OrderCount};
-use sesamecart_platform::{EngineReport, Order, OrderOutcome, Orders, report};
+use sesamecart_platform::{EngineReport, Order, OrderClient, OrderOutcome, fetch_report};
 use sesamecart_runtime::sleep;
 use sesamecart_vocabulary::EndpointId;
 
@@ -48,7 +48,7 @@
 pub(crate) struct EngineClient {
     state: Arc<EntryState>,
     client: HttpClient,
-    orders: Orders,
+    orders: OrderClient,
     lease: Arc<Lease>,
     counts: Mutex<OrderCounts>,
 }
@@ -57,7 +57,7 @@
     pub(crate) fn new(state: Arc<EntryState>, client: HttpClient, lease: Arc<Lease>) -> Self {
         Self {
             state,
-            orders: Orders::new(client.clone(), ORDER_TIMEOUT),
+            orders: OrderClient::new(client.clone(), ORDER_TIMEOUT),
             client,
             lease,
             counts: Mutex::default(),
@@ -90,7 +90,7 @@
             return false;
         }
         for _ in 0..MAX_PROBES {
-            if report(&self.client, endpoint.address, PROBE_TIMEOUT)
+            if fetch_report(&self.client, endpoint.address, PROBE_TIMEOUT)
                 .await
                 .is_ok()
             {
@@ -126,12 +126,12 @@
             let outcome = OrderOutcome::NotSent("the endpoint is gone".to_owned());
             return (outcome, Fence::default());
         };
-        let mut outcome = OrderOutcome::NoAnswer("not tried".to_owned());
+        let mut outcome = OrderOutcome::NoResponse("not tried".to_owned());
         let mut last_fence = Fence::default();
         for _ in 0..MAX_ATTEMPTS {
             let count = match self.count(engine, endpoint.incarnation) {
                 Some(count) => count,
-                None => match report(&self.client, endpoint.address, ORDER_TIMEOUT).await {
+                None => match fetch_report(&self.client, endpoint.address, ORDER_TIMEOUT).await {
                     Ok(report) => {
                         self.record_count(engine, endpoint.incarnation, report.orders);
                         if is_joined_elsewhere(order, &report, &endpoint) {
@@ -153,14 +153,14 @@
             last_fence = fence;
             let reply = self
                 .orders
-                .give(engine, endpoint.address, order, fence, Some(count));
+                .send(engine, endpoint.address, order, fence, Some(count));
             outcome = reply.await;
             match &outcome {
                 OrderOutcome::Begun => {
                     self.record_count(engine, endpoint.incarnation, OrderCount(count.0 + 1));
                     return (outcome, fence);
                 }
-                OrderOutcome::NoAnswer(_) => {
+                OrderOutcome::NoResponse(_) => {
                     if self.has_started(engine, &endpoint, count).await {
                         return (OrderOutcome::Begun, fence);
                     }
@@ -169,7 +169,7 @@
                 OrderOutcome::NotSent(_) => sleep(RETRY_DELAY).await,
                 // The conflict may be due to a wrong count.
                 OrderOutcome::Conflict => self.correct_count(engine, endpoint.incarnation, count),
-                OrderOutcome::Already => {
+                OrderOutcome::AlreadyDone => {
                     self.record_already(engine, endpoint.incarnation, count);
                     return (outcome, fence);
                 }
@@ -189,7 +189,7 @@
         endpoint: &Endpoint,
         before: OrderCount,
     ) -> bool {
-        let Ok(report) = report(&self.client, endpoint.address, ORDER_TIMEOUT).await else {
+        let Ok(report) = fetch_report(&self.client, endpoint.address, ORDER_TIMEOUT).await else {
             return false;
         };
         self.record_count(engine, endpoint.incarnation, report.orders);
@@ -277,12 +277,12 @@
 fn outcome_label(outcome: &OrderOutcome) -> &'static str {
     match outcome {
         OrderOutcome::Begun => "begun",
-        OrderOutcome::Already => "already",
+        OrderOutcome::AlreadyDone => "already",
         OrderOutcome::Conflict => "conflict",
         OrderOutcome::Fenced => "fenced",
         OrderOutcome::Misdirected => "misdirected",
         OrderOutcome::Unknown => "unknown",
         OrderOutcome::NotSent(_) => "not_sent",
-        OrderOutcome::NoAnswer(_) => "no_answer",
+        OrderOutcome::NoResponse(_) => "no_answer",
     }
 }
--- a/crates/sesamecart-entry/src/controller/lease.rs
+++ b/crates/sesamecart-entry/src/controller/lease.rs
@@ -97,13 +97,13 @@
                     let _was_unavailable = dependency.record_success(&self.state);
                     generation = joined.generation;
                     let is_refused = generation <= self.highest_refused.load(Ordering::Acquire);
-                    if joined.holds && is_refused {
+                    if joined.is_holder && is_refused {
                         // Engines accept only a higher fence, and only a change of the group raises it.
                         self.release("an engine refused the fence").await;
                         sleep(RENEW_INTERVAL).await;
                         continue;
                     }
-                    let held = joined.holds.then_some(HeldLease {
+                    let held = joined.is_holder.then_some(HeldLease {
                         fence: Fence(generation),
                         expires_at: sent + ttl.saturating_sub(EXPIRY_MARGIN),
                     });
--- a/crates/sesamecart-entry/src/controller/observations.rs
+++ b/crates/sesamecart-entry/src/controller/observations.rs
@@ -4,7 +4,7 @@
 
 use async_channel::Sender;
 use sesamecart_fleet::GroupKey;
-use sesamecart_platform::{Offset, Read, Record, Store, Topic};
+use sesamecart_platform::{Offset, ReadResult, Record, Store, Topic};
 use sesamecart_runtime::sleep;
 
 use crate::loss_reports;
@@ -26,8 +26,8 @@
                 .read(Topic::Observations, Offset(0), Duration::ZERO)
                 .await
             {
-                Ok(Read::Records { end, .. }) => next_offset = Some(end),
-                Ok(Read::Trimmed { first }) => next_offset = Some(first),
+                Ok(ReadResult::Records { end, .. }) => next_offset = Some(end),
+                Ok(ReadResult::Trimmed { first }) => next_offset = Some(first),
                 Err(_) => sleep(RETRY_DELAY).await,
             }
             continue;
@@ -36,7 +36,7 @@
             .read(Topic::Observations, offset, LONG_POLL_TIMEOUT)
             .await
         {
-            Ok(Read::Records { records, next, .. }) => {
+            Ok(ReadResult::Records { records, next, .. }) => {
                 next_offset = Some(next);
                 for record in records {
                     let Some(key) = parse_observation(&record) else {
@@ -47,7 +47,7 @@
                     }
                 }
             }
-            Ok(Read::Trimmed { first }) => next_offset = Some(first),
+            Ok(ReadResult::Trimmed { first }) => next_offset = Some(first),
             Err(_) => sleep(RETRY_DELAY).await,
         }
     }
--- a/crates/sesamecart-entry/src/controller/steps.rs
+++ b/crates/sesamecart-entry/src/controller/steps.rs
@@ -106,7 +106,7 @@
 }
 
 fn is_accepted(outcome: &OrderOutcome) -> bool {
-    matches!(outcome, OrderOutcome::Begun | OrderOutcome::Already)
+    matches!(outcome, OrderOutcome::Begun | OrderOutcome::AlreadyDone)
 }
 
 async fn join(state: &EntryState, engines: &EngineClient, formation: Formation) -> StepOutcome {
--- a/crates/sesamecart-entry/src/follower.rs
+++ b/crates/sesamecart-entry/src/follower.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use indexmap::IndexSet;
-use sesamecart_platform::{Offset, Read, Record, Store, StoreError, StoredRecord, Topic};
+use sesamecart_platform::{Offset, ReadResult, Record, Store, StoreError, StoredRecord, Topic};
 use sesamecart_runtime::sleep;
 use sesamecart_vocabulary::Timestamp;
 
@@ -167,7 +167,7 @@
             let (poll_timeout, interval) = self.read_timing();
             let sent = clock::now();
             match self.store.read(self.topic, from, poll_timeout).await {
-                Ok(Read::Records { next, end, records }) => {
+                Ok(ReadResult::Records { next, end, records }) => {
                     let was_unavailable = self.dependency.record_success(self.state);
                     if end < from {
                         return;
@@ -182,7 +182,7 @@
                         self.confirm_freshness(sent);
                     }
                 }
-                Ok(Read::Trimmed { .. }) => return,
+                Ok(ReadResult::Trimmed { .. }) => return,
                 Err(error) => {
                     self.dependency.record_failure(self.state, &error);
                     sleep(RETRY_DELAY).await;
--- a/crates/sesamecart-entry/src/follower/nodes.rs
+++ b/crates/sesamecart-entry/src/follower/nodes.rs
@@ -5,7 +5,7 @@
 
 use indexmap::{IndexMap, IndexSet};
 use sesamecart_fleet::PeerNode;
-use sesamecart_platform::{Expected, NewestPage, Record, Store, StoreError, Topic};
+use sesamecart_platform::{AppendCondition, NewestPage, Record, Store, StoreError, Topic};
 use sesamecart_runtime::sleep;
 use sesamecart_vocabulary::NodeId;
 
@@ -112,7 +112,7 @@
             value: Some(value),
         };
         let appended = store
-            .append(Topic::Nodes, &record, Expected::Anything)
+            .append(Topic::Nodes, &record, AppendCondition::Unconditional)
             .await;
         if let Err(error) = &appended {
             self.dependency.record_failure(state, error);
--- a/crates/sesamecart-entry/src/metrics.rs
+++ b/crates/sesamecart-entry/src/metrics.rs
@@ -8,7 +8,7 @@
 use opentelemetry::metrics::{Counter, Gauge, Histogram, MeterProvider as _};
 use opentelemetry_sdk::metrics::SdkMeterProvider;
 use prometheus::{Encoder as _, Registry, TextEncoder};
-use sesamecart_platform::{StoreStep, Topic};
+use sesamecart_platform::{StoreOperation, Topic};
 
 /// The metrics of one node.
 #[derive(Debug)]
@@ -21,7 +21,7 @@
     resumed: Counter<u64>,
     store_calls: Counter<u64>,
     /// The calls to the store by step and topic, for the decision log.
-    store_call_counts: Mutex<IndexMap<(StoreStep, Topic), u64>>,
+    store_call_counts: Mutex<IndexMap<(StoreOperation, Topic), u64>>,
     store_failures: Counter<u64>,
     orders: Counter<u64>,
     groups_lost: Counter<u64>,
@@ -127,7 +127,7 @@
         self.resumed.add(1, &[]);
     }
 
-    pub(crate) fn count_store_call(&self, step: StoreStep, topic: Topic) {
+    pub(crate) fn count_store_call(&self, step: StoreOperation, topic: Topic) {
         let labels = [
             KeyValue::new("step", step.to_string()),
             KeyValue::new("topic", topic.to_string()),
--- a/crates/sesamecart-entry/src/traffic/call.rs
+++ b/crates/sesamecart-entry/src/traffic/call.rs
@@ -9,7 +9,7 @@
 use hyper::body::Incoming;
 use sesamecart_edges::{ConnectionLease, HttpClient};
 use sesamecart_fleet::{Catalog, Customer, PathRoute, Unavailable};
-use sesamecart_platform::Asked;
+use sesamecart_platform::RequestMetadata;
 use sesamecart_vocabulary::{EndpointId, Timestamp};
 
 use crate::clock;
@@ -35,7 +35,7 @@
     pub(crate) catalog: Arc<Catalog>,
     pub(crate) route: Arc<PathRoute>,
     pub(crate) customer: Option<Arc<Customer>>,
-    pub(crate) metadata: Asked,
+    pub(crate) metadata: RequestMetadata,
     pub(crate) head: Parts,
     pub(crate) body: Bytes,
     pub(crate) arrived_at: Timestamp,
--- a/crates/sesamecart-entry/src/traffic/demand.rs
+++ b/crates/sesamecart-entry/src/traffic/demand.rs
@@ -37,7 +37,10 @@
 
     /// Returns the expected length of the output in tokens, if the caller gave a hint.
     fn expected_output_tokens(&self) -> Option<f64> {
-        let max = self.metadata.size.map(|size| size.answer_most as f64);
+        let max = self
+            .metadata
+            .size
+            .map(|size| size.max_response_tokens as f64);
         let hint = self.metadata.length_hint.map(|tokens| tokens as f64);
         match (hint, max) {
             (Some(hint), Some(max)) => Some(hint.min(max)),
--- a/crates/sesamecart-entry/src/traffic/handler.rs
+++ b/crates/sesamecart-entry/src/traffic/handler.rs
@@ -10,7 +10,7 @@
 use hyper::body::{Body as _, Incoming};
 use sesamecart_edges::{CallerBody, HttpClient, ReadBodyError, read_whole, whole};
 use sesamecart_fleet::{Catalog, Customer, PathRoute, RouteMatch};
-use sesamecart_platform::{Asked, forwarded_headers};
+use sesamecart_platform::{RequestMetadata, forwarded_headers};
 use sesamecart_vocabulary::{EndpointId, Timestamp};
 
 use crate::clock;
@@ -77,7 +77,7 @@
         head: Parts,
         body: Incoming,
     ) -> Result<Response<CallerBody>, Refused> {
-        let metadata = Asked::read(&head).map_err(|error| {
+        let metadata = RequestMetadata::read(&head).map_err(|error| {
             let refusal = Refusal::BadRequest(error.to_string());
             Refused::new(String::new(), refusal)
         })?;
@@ -112,7 +112,7 @@
     /// Refuses requests that the configuration doesn't allow, and all requests while the configuration is
     /// missing. Requests that need a key are also refused while the configuration isn't confirmed to be
     /// recent.
-    fn admit(&self, head: &Parts, metadata: &Asked) -> Result<Admitted, Refusal> {
+    fn admit(&self, head: &Parts, metadata: &RequestMetadata) -> Result<Admitted, Refusal> {
         let not_ready = Refusal::NotReady;
         let catalog = self.state.catalog.load_full();
         let catalog = catalog.ok_or_else(|| not_ready("the node has no configuration yet"))?;
--- a/crates/sesamecart-entry/src/traffic/response.rs
+++ b/crates/sesamecart-entry/src/traffic/response.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use http::{Response, StatusCode};
 use sesamecart_edges::{ConnectionLease, Exchange, read_whole};
-use sesamecart_platform::{AnswerHead, NotRun};
+use sesamecart_platform::{NotRunReason, ResponseHead};
 use sesamecart_vocabulary::{Bytes as ByteSize, EndpointId};
 
 use crate::clock;
@@ -44,7 +44,7 @@
         mut in_flight: InFlightRequest,
     ) -> Result<EndpointResponse, AttemptError> {
         let (head, body) = exchange.response.into_parts();
-        let response_head = AnswerHead::read(&head);
+        let response_head = ResponseHead::read(&head);
         if let Some(load) = response_head.load {
             let now = clock::now();
             self.state
@@ -100,21 +100,26 @@
     }
 
     /// Ejects an endpoint that rejected a request.
-    fn eject_rejecting(&self, endpoint: &EndpointId, not_run: NotRun, response_head: &AnswerHead) {
+    fn eject_rejecting(
+        &self,
+        endpoint: &EndpointId,
+        not_run: NotRunReason,
+        response_head: &ResponseHead,
+    ) {
         let now = clock::now();
         let ejection_time = match not_run {
-            NotRun::Misdirected => MISDIRECTED_EJECTION_TIME,
-            NotRun::Full | NotRun::Rejected => REJECTED_EJECTION_TIME,
+            NotRunReason::Misdirected => MISDIRECTED_EJECTION_TIME,
+            NotRunReason::Full | NotRunReason::Rejected => REJECTED_EJECTION_TIME,
         };
         self.state.loads().eject(now, endpoint, ejection_time);
         if response_head
-            .at_fault
+            .faulty_endpoint
             .as_ref()
             .is_some_and(|id| id != endpoint)
         {
             log::debug!(
                 "traffic: {endpoint} rejected a request because of {:?}.",
-                response_head.at_fault
+                response_head.faulty_endpoint
             );
         }
     }
--- a/crates/sesamecart-entry/src/traffic/timeout.rs
+++ b/crates/sesamecart-entry/src/traffic/timeout.rs
@@ -5,7 +5,7 @@
 use futures_lite::future;
 use sesamecart_edges::{ClientError, Exchange, Reuse, Sent};
 use sesamecart_fleet::{Delivery, Endpoint};
-use sesamecart_platform::{Handover, forward};
+use sesamecart_platform::{ForwardContext, build_forwarded_request};
 use sesamecart_runtime::sleep;
 
 use crate::clock;
@@ -61,14 +61,14 @@
         attempts: &Attempts,
         last_event: Option<&str>,
     ) -> Result<Exchange, (AttemptError, bool)> {
-        let handover = Handover {
+        let handover = ForwardContext {
             endpoint: &endpoint.id,
             customer: self.customer.as_deref(),
-            left: self.caller_time_left(),
+            remaining_time: self.caller_time_left(),
             priority: self.priority(),
             last_event,
         };
-        let req = forward(&self.head, &self.body, &handover);
+        let req = build_forwarded_request(&self.head, &self.body, &handover);
         let reuse = if self.route.delivery.may_repeat() {
             Reuse::Allowed
         } else {
--- a/crates/sesamecart-entry/src/watch.rs
+++ b/crates/sesamecart-entry/src/watch.rs
@@ -10,7 +10,7 @@
     Directory, Endpoint, GroupHealth, GroupKey, GroupProbes, MemberProbe, StallLimits,
     evaluate_group,
 };
-use sesamecart_platform::report;
+use sesamecart_platform::fetch_report;
 use sesamecart_runtime::{Tasks, sleep};
 use sesamecart_vocabulary::EndpointId;
 
@@ -167,7 +167,7 @@
 
 async fn probe_member(client: &HttpClient, member: &Endpoint, key: &GroupKey) -> MemberProbe {
     for _ in 0..MAX_PROBES {
-        let Ok(report) = report(client, member.address, PROBE_TIMEOUT).await else {
+        let Ok(report) = fetch_report(client, member.address, PROBE_TIMEOUT).await else {
             continue;
         };
         return match report.group {
--- a/crates/sesamecart-entry/tests/end_to_end/main.rs
+++ b/crates/sesamecart-entry/tests/end_to_end/main.rs
@@ -54,7 +54,7 @@
     let deployment = Deployment::start(EVENTS);
     deployment.wait_for_groups(2);
     for engine in &deployment.engines {
-        engine.set_fault(Fault::BreakInEvent(5));
+        engine.set_fault(Fault::AbortInEvent(5));
     }
     let first = deployment.send_request(RequestKind::Stream, "r1", "key-1");
     // Both heads abort their next stream, and the route allows two attempts.
@@ -69,7 +69,7 @@
         .iter()
         .find(|engine| engine.is_open_head());
     head.expect("a group is open")
-        .set_fault(Fault::BreakInEvent(5));
+        .set_fault(Fault::AbortInEvent(5));
     for request in 0..6 {
         let response =
             deployment.send_request(RequestKind::Stream, &format!("again-{request}"), "key-1");
@@ -84,7 +84,7 @@
 fn a_stream_runs_on_no_more_endpoints_than_its_route_allows() {
     let deployment = Deployment::start_with(EVENTS, |engines| {
         for engine in engines {
-            engine.break_all_after(3);
+            engine.abort_streams_after(3);
         }
     });
     deployment.wait_for_groups(2);
@@ -99,7 +99,7 @@
         let runs: u32 = deployment
             .engines
             .iter()
-            .map(|engine| engine.runs(&id))
+            .map(|engine| engine.run_count(&id))
             .sum();
         assert!(runs <= 2, "it ran {runs} times");
     }
@@ -112,7 +112,7 @@
 fn a_booking_whose_response_is_lost_runs_once_and_is_not_refused() {
     let deployment = Deployment::start(EVENTS);
     for plain in &deployment.plain {
-        plain.set_fault(Fault::LoseAnswer);
+        plain.set_fault(Fault::DropResponse);
     }
     let response = deployment.send_request(RequestKind::Booking, "r1", "key-1");
     assert_eq!(response.status, 502);
@@ -124,7 +124,7 @@
 #[test]
 fn a_lookup_whose_response_is_lost_is_retried_on_another_endpoint() {
     let deployment = Deployment::start(EVENTS);
-    deployment.plain[0].set_fault(Fault::LoseAnswer);
+    deployment.plain[0].set_fault(Fault::DropResponse);
     for request in 0..4 {
         let response =
             deployment.send_request(RequestKind::Lookup, &format!("r{request}"), "key-1");
@@ -139,7 +139,7 @@
 fn a_bare_503_is_not_forwarded_as_a_refusal() {
     let deployment = Deployment::start(EVENTS);
     for plain in &deployment.plain {
-        plain.set_fault(Fault::BareUnavailable);
+        plain.set_fault(Fault::PlainUnavailable);
     }
     let response = deployment.send_request(RequestKind::Booking, "r1", "key-1");
     assert_eq!((response.status, response.is_sealed), (502, false));
@@ -178,7 +178,7 @@
 fn a_response_to_another_request_is_not_forwarded() {
     let deployment = Deployment::start(EVENTS);
     for plain in &deployment.plain {
-        plain.set_fault(Fault::AnswerAnother);
+        plain.set_fault(Fault::WrongRequestId);
     }
     let response = deployment.send_request(RequestKind::Booking, "r1", "key-1");
     assert_eq!(response.status, 502);
@@ -242,7 +242,7 @@
 #[test]
 fn a_node_without_responses_from_the_store_stops_accepting_keys() {
     let deployment = Deployment::start(EVENTS);
-    deployment.store.set_outage(Outage::Silent);
+    deployment.store.set_outage(Outage::Unresponsive);
     deployment.wait_until("the node refuses requests", || {
         let id = format!("r{}", fastrand::u64(..));
         let response = deployment.send_request(RequestKind::Booking, &id, "key-1");
@@ -297,7 +297,7 @@
         .iter()
         .find(|engine| !engine.is_open_head());
     let member = member.expect("a group has members");
-    member.set_fault(Fault::Silent);
+    member.set_fault(Fault::Unresponsive);
     deployment.store.unregister(member.id());
     deployment.wait_until("a head has left its group", || {
         deployment.engines.iter().any(|engine| {
@@ -330,7 +330,7 @@
     let first = members().next().expect("a group has members");
     let last = members().next_back().expect("the other group has members");
     for member in [first, last] {
-        member.set_lasting_silence(true);
+        member.set_unresponsive(true);
         deployment.store.unregister(member.id());
     }
     let joins = |engine: &Engine| {
@@ -366,7 +366,8 @@
 /// assigned to a group with it: callers would find no group until the dead engine's order has failed.
 #[test]
 fn a_dead_registered_engine_is_not_grouped_with_others() {
-    let deployment = Deployment::start_with(EVENTS, |engines| engines[0].set_fault(Fault::Silent));
+    let deployment =
+        Deployment::start_with(EVENTS, |engines| engines[0].set_fault(Fault::Unresponsive));
     deployment.wait_for_groups(1);
     let head = deployment
         .engines
@@ -393,7 +394,7 @@
     let deployment = Deployment::start(EVENTS);
     deployment.wait_for_groups(2);
     for engine in &deployment.engines {
-        engine.set_lasting_silence(true);
+        engine.set_unresponsive(true);
     }
     // A stream on each head makes the node probe its group.
     for request in 0..4 {
@@ -403,7 +404,7 @@
     }
     std::thread::sleep(std::time::Duration::from_secs(6));
     for engine in &deployment.engines {
-        engine.set_lasting_silence(false);
+        engine.set_unresponsive(false);
     }
     std::thread::sleep(std::time::Duration::from_secs(3));
     for engine in &deployment.engines {
@@ -433,7 +434,7 @@
 fn a_request_ends_at_the_callers_deadline() {
     let deployment = Deployment::start(EVENTS);
     for plain in &deployment.plain {
-        plain.set_fault(Fault::Silent);
+        plain.set_fault(Fault::Unresponsive);
     }
     let deadline = Duration::from_millis(300);
     let response = deployment.send_request_within(RequestKind::Booking, "r1", "key-1", deadline);
--- a/crates/sesamecart-entry/tests/end_to_end/many_nodes.rs
+++ b/crates/sesamecart-entry/tests/end_to_end/many_nodes.rs
@@ -86,9 +86,9 @@
             .iter()
             .filter(|engine| !engine.is_open_head())
     };
-    let before: u32 = members().map(|member| member.questions()).sum();
+    let before: u32 = members().map(|member| member.report_requests()).sum();
     for head in heads() {
-        head.set_lasting_silence(true);
+        head.set_unresponsive(true);
     }
     std::thread::scope(|scope| {
         for (index, node) in others.iter().enumerate() {
@@ -99,7 +99,10 @@
             });
         }
     });
-    let queries: u32 = members().map(|member| member.questions()).sum::<u32>() - before;
+    let queries: u32 = members()
+        .map(|member| member.report_requests())
+        .sum::<u32>()
+        - before;
     let per_member = queries as usize / members().count();
     assert!(
         per_member < others.len(),
--- a/crates/sesamecart-entry/tests/end_to_end/overload.rs
+++ b/crates/sesamecart-entry/tests/end_to_end/overload.rs
@@ -17,7 +17,7 @@
         let at_heads = || {
             let engines = deployment.engines.iter();
             engines
-                .map(|engine| engine.runs("s0") + engine.runs("s1"))
+                .map(|engine| engine.run_count("s0") + engine.run_count("s1"))
                 .sum::<u32>()
         };
         for stream in ["s0", "s1"] {
--- a/crates/sesamecart-entry/tests/end_to_end/setup.rs
+++ b/crates/sesamecart-entry/tests/end_to_end/setup.rs
@@ -210,7 +210,10 @@
 
     /// Returns how often a booking or lookup was started, summed over all endpoints.
     pub(crate) fn runs(&self, request: &str) -> u32 {
-        self.plain.iter().map(|plain| plain.runs(request)).sum()
+        self.plain
+            .iter()
+            .map(|plain| plain.run_count(request))
+            .sum()
     }
 
     pub(crate) fn readiness(&self) -> u16 {
