--- a/crates/sesamecart-entry/src/controller.rs
+++ b/crates/sesamecart-entry/src/controller.rs
@@ -12,7 +12,7 @@
 use futures_lite::future;
 use indexmap::IndexSet;
 use sesamecart_edges::HttpClient;
-use sesamecart_fleet::{Fence, GroupKey, Planner, PlannerInput, Step};
+use sesamecart_fleet::{FencingToken, GroupKey, Planner, PlannerInput, Step};
 use sesamecart_links::Links;
 use sesamecart_platform::Store;
 use sesamecart_runtime::{Tasks, sleep};
@@ -106,7 +106,7 @@
         }
     }
 
-    fn start_term(&self, lease: &Arc<Lease>, fence: Fence, formed: u64) -> Term {
+    fn start_term(&self, lease: &Arc<Lease>, fence: FencingToken, formed: u64) -> Term {
         let (outcome_tx, outcome_rx) = async_channel::unbounded();
         let (report_tx, reported_groups) = async_channel::unbounded();
         let tasks = Tasks::new(Arc::clone(self.tasks.executor()));
--- a/crates/sesamecart-entry/src/controller/engines.rs
+++ b/crates/sesamecart-entry/src/controller/engines.rs
@@ -6,7 +6,7 @@
 use futures_util::future::join_all;
 use indexmap::IndexMap;
 use sesamecart_edges::HttpClient;
-use sesamecart_fleet::{Endpoint, Fence, GroupRole, Incarnation, OrderCount};
+use sesamecart_fleet::{Endpoint, FencingToken, GroupRole, Incarnation, OrderCount};
 use sesamecart_platform::{EngineReport, Order, OrderClient, OrderOutcome, fetch_report};
 use sesamecart_runtime::sleep;
 use sesamecart_vocabulary::EndpointId;
@@ -65,7 +65,7 @@
     }
 
     /// Returns the fence of the lease, or zero if this node doesn't hold the lease.
-    pub(crate) fn fence(&self) -> Fence {
+    pub(crate) fn fence(&self) -> FencingToken {
         self.lease.fence().unwrap_or_default()
     }
 
@@ -113,21 +113,25 @@
             fence: fence.0,
             outcome: &outcome.to_string(),
         });
-        if outcome == OrderOutcome::Fenced && fence != Fence::default() {
+        if outcome == OrderOutcome::Fenced && fence != FencingToken::default() {
             self.lease
                 .step_down(fence, "an engine has seen a higher fence");
         }
         outcome
     }
 
-    async fn try_send_order(&self, engine: &EndpointId, order: &Order) -> (OrderOutcome, Fence) {
+    async fn try_send_order(
+        &self,
+        engine: &EndpointId,
+        order: &Order,
+    ) -> (OrderOutcome, FencingToken) {
         let endpoint = self.state.directory.load().find(engine).cloned();
         let Some(endpoint) = endpoint else {
             let outcome = OrderOutcome::NotSent("the endpoint is gone".to_owned());
-            return (outcome, Fence::default());
+            return (outcome, FencingToken::default());
         };
         let mut outcome = OrderOutcome::NoResponse("not tried".to_owned());
-        let mut last_fence = Fence::default();
+        let mut last_fence = FencingToken::default();
         for _ in 0..MAX_ATTEMPTS {
             let count = match self.count(engine, endpoint.incarnation) {
                 Some(count) => count,
@@ -135,7 +139,7 @@
                     Ok(report) => {
                         self.record_count(engine, endpoint.incarnation, report.orders);
                         if is_joined_elsewhere(order, &report, &endpoint) {
-                            return (OrderOutcome::Conflict, Fence::default());
+                            return (OrderOutcome::Conflict, FencingToken::default());
                         }
                         report.orders
                     }
@@ -148,7 +152,7 @@
             };
             // The lease is checked right before the order is sent: it may have expired during the wait above.
             let Some(fence) = self.lease.fence() else {
-                return (OrderOutcome::Fenced, Fence::default());
+                return (OrderOutcome::Fenced, FencingToken::default());
             };
             last_fence = fence;
             let reply = self
--- a/crates/sesamecart-entry/src/controller/lease.rs
+++ b/crates/sesamecart-entry/src/controller/lease.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-use sesamecart_fleet::Fence;
+use sesamecart_fleet::FencingToken;
 use sesamecart_platform::Store;
 use sesamecart_runtime::sleep;
 use sesamecart_vocabulary::Timestamp;
@@ -28,7 +28,7 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 struct HeldLease {
-    fence: Fence,
+    fence: FencingToken,
     expires_at: Timestamp,
 }
 
@@ -66,14 +66,14 @@
     }
 
     /// Returns the fence under which this node may act now, or `None` if it doesn't hold the lease.
-    pub(crate) fn fence(&self) -> Option<Fence> {
+    pub(crate) fn fence(&self) -> Option<FencingToken> {
         let held = *self.held.lock().unwrap_or_else(PoisonError::into_inner);
         let held = held.filter(|held| clock::now() < held.expires_at)?;
         Some(held.fence)
     }
 
     /// Gives up control immediately, because another node has used a fence higher than `fence`.
-    pub(crate) fn step_down(&self, fence: Fence, reason: &str) {
+    pub(crate) fn step_down(&self, fence: FencingToken, reason: &str) {
         self.highest_refused.fetch_max(fence.0, Ordering::AcqRel);
         self.set_held(None, reason);
     }
@@ -104,7 +104,7 @@
                         continue;
                     }
                     let held = joined.is_holder.then_some(HeldLease {
-                        fence: Fence(generation),
+                        fence: FencingToken(generation),
                         expires_at: sent + ttl.saturating_sub(EXPIRY_MARGIN),
                     });
                     self.set_held(held, "the store says so");
--- a/crates/sesamecart-fleet/examples/plan.rs
+++ b/crates/sesamecart-fleet/examples/plan.rs
@@ -7,8 +7,8 @@
 use std::time::{Duration, Instant};
 
 use sesamecart_fleet::{
-    Directory, Endpoint, EndpointState, EngineModel, EngineSpec, Fence, GroupEpoch, GroupRole,
-    GroupState, Planner, PlannerInput,
+    Directory, Endpoint, EndpointState, EngineModel, EngineSpec, FencingToken, GroupEpoch,
+    GroupRole, GroupState, Planner, PlannerInput,
 };
 use sesamecart_vocabulary::{ServiceId, Timestamp};
 
@@ -54,7 +54,7 @@
     };
     let mut durations: Vec<Duration> = (0..ROUNDS)
         .map(|_| {
-            let mut planner = Planner::new(Fence(1), 0);
+            let mut planner = Planner::new(FencingToken(1), 0);
             let start = Instant::now();
             let steps = planner.plan(Timestamp(10_000_000), &input);
             let duration = start.elapsed();
--- a/crates/sesamecart-fleet/src/lib.rs
+++ b/crates/sesamecart-fleet/src/lib.rs
@@ -35,7 +35,7 @@
 pub use first_event::FirstEventTimeouts;
 pub use freshness::Freshness;
 pub use loads::{Candidate, Choice, LoadReport, LoadTracker, NodeLoad, Unavailable};
-pub use number::{CatalogVersion, Fence, GroupEpoch, Incarnation, OrderCount};
+pub use number::{CatalogVersion, FencingToken, GroupEpoch, Incarnation, OrderCount};
 pub use planner::{Formation, ModelSummary, Planner, PlannerInput, Step};
 pub use repair::{GroupHealth, GroupProbes, MemberProbe, evaluate_group};
 pub use retry_schedule::RetrySchedule;
--- a/crates/sesamecart-fleet/src/number.rs
+++ b/crates/sesamecart-fleet/src/number.rs
@@ -21,7 +21,7 @@
 );
 counter!(
     /// The fencing token of a controller. An engine rejects orders with a lower one.
-    Fence
+    FencingToken
 );
 counter!(
     /// A number that orders the group memberships of one incarnation of an engine.
--- a/crates/sesamecart-fleet/src/planner.rs
+++ b/crates/sesamecart-fleet/src/planner.rs
@@ -17,7 +17,7 @@
 use crate::demand::Demand;
 use crate::directory::{Directory, GroupKey};
 use crate::endpoint::{Endpoint, EndpointState, GroupState};
-use crate::number::Fence;
+use crate::number::FencingToken;
 use crate::planner::conversion::Conversions;
 use crate::planner::domain_sizes::DomainSizes;
 use crate::planner::engine::{engines, group_size, holds, member_state};
@@ -132,7 +132,7 @@
 /// Plans the groups of one service, under one fencing token.
 #[derive(Debug)]
 pub struct Planner {
-    fence: Fence,
+    fence: FencingToken,
     formed_count: u64,
     /// The model assigned to each fabric domain.
     domain_models: IndexMap<FabricDomainId, ModelId>,
@@ -159,7 +159,7 @@
     /// Creates a planner for a controller that has just been granted `fence`. `formed_count` is the
     /// number of groups already named under that fencing token.
     #[must_use]
-    pub fn new(fence: Fence, formed_count: u64) -> Self {
+    pub fn new(fence: FencingToken, formed_count: u64) -> Self {
         Self {
             fence,
             formed_count,
--- a/crates/sesamecart-fleet/src/planner/tests.rs
+++ b/crates/sesamecart-fleet/src/planner/tests.rs
@@ -8,7 +8,7 @@
 use super::{Planner, PlannerInput, Step};
 use crate::directory::{Directory, GroupKey};
 use crate::endpoint::{Endpoint, EndpointState, GroupState};
-use crate::number::Fence;
+use crate::number::FencingToken;
 use crate::testkit::{engine, id, key, member, model, service, spec, spec_of_sixteen};
 
 mod conversion;
@@ -83,7 +83,7 @@
 #[test]
 fn a_cold_start_limits_concurrent_loads_and_covers_both_models() {
     let directory = directory(six_domains_of_nine());
-    let mut planner = Planner::new(Fence(1), 0);
+    let mut planner = Planner::new(FencingToken(1), 0);
     let steps = plan(&mut planner, START, &directory, false);
     let engines: usize = joins(&steps).iter().map(|(_, members)| members.len()).sum();
     assert!((6..=8).contains(&engines), "{engines} engines load at once");
@@ -113,7 +113,7 @@
         endpoint.staged = vec![model(serves)];
     }
     let directory = directory(endpoints);
-    let mut planner = Planner::new(Fence(1), 0);
+    let mut planner = Planner::new(FencingToken(1), 0);
     let steps = plan(&mut planner, START, &directory, false);
     let joining: usize = joins(&steps).iter().map(|(_, members)| members.len()).sum();
     let staged = steps
@@ -144,7 +144,7 @@
         has_traffic: false,
         demand: None,
     };
-    let steps = Planner::new(Fence(1), 0).plan(START, &input);
+    let steps = Planner::new(FencingToken(1), 0).plan(START, &input);
     let formed: Vec<&str> = joins(&steps).iter().map(|(model, _)| *model).collect();
     assert_eq!(formed, ["large", "large"]);
     let staged = steps
@@ -173,7 +173,7 @@
     endpoints.push(spare);
     endpoints.push(engine("empty", "a-0"));
     let directory = directory(endpoints);
-    let mut planner = Planner::new(Fence(1), 0);
+    let mut planner = Planner::new(FencingToken(1), 0);
     let steps = plan(&mut planner, START, &directory, true);
     assert_eq!(joins(&steps), [("large", vec!["e1", "e2", "e3", "spare"])]);
 }
@@ -188,7 +188,7 @@
         endpoint.staged = vec![model("large")];
     }
     let directory = directory(endpoints);
-    let mut planner = Planner::new(Fence(1), 0);
+    let mut planner = Planner::new(FencingToken(1), 0);
     assert!(joins(&plan(&mut planner, START, &directory, true)).is_empty());
 }
 
@@ -201,7 +201,7 @@
         engine.staged = vec![model("small")];
         engine
     }));
-    let mut planner = Planner::new(Fence(1), 0);
+    let mut planner = Planner::new(FencingToken(1), 0);
     let steps = plan(&mut planner, START, &empty, true);
     let Some(Step::Join(formation)) = steps.first() else {
         panic!("no group was formed: {steps:?}");
@@ -230,7 +230,7 @@
         engine.staged = vec![model("small")];
         engine
     }));
-    let mut planner = Planner::new(Fence(1), 0);
+    let mut planner = Planner::new(FencingToken(1), 0);
     let steps = plan(&mut planner, START, &empty, true);
     let Some(Step::Join(formation)) = steps.first() else {
         panic!("no group was formed: {steps:?}");
@@ -272,7 +272,7 @@
         "small",
         GroupState::Joining,
     ));
-    let mut planner = Planner::new(Fence(9), 0);
+    let mut planner = Planner::new(FencingToken(9), 0);
     let steps = plan(&mut planner, START, &directory, true);
     assert!(
         matches!(steps.as_slice(), [Step::Dissolve(key)] if *key == partial),
@@ -292,7 +292,7 @@
         "small",
         GroupState::Open,
     ));
-    let mut planner = Planner::new(Fence(9), 0);
+    let mut planner = Planner::new(FencingToken(9), 0);
     assert!(plan(&mut planner, START, &directory, true).is_empty());
 }
 
@@ -310,7 +310,7 @@
     );
     let mut directory = directory(endpoints);
     directory.remove(START, &id("e2"));
-    let mut planner = Planner::new(Fence(9), 0);
+    let mut planner = Planner::new(FencingToken(9), 0);
     let steps = plan(&mut planner, START, &directory, true);
     assert!(
         matches!(steps.as_slice(), [Step::Examine(key)] if *key == group_key),
@@ -331,7 +331,7 @@
         GroupState::Open,
     );
     endpoints[2].state = EndpointState::Draining;
-    let mut planner = Planner::new(Fence(9), 0);
+    let mut planner = Planner::new(FencingToken(9), 0);
     let steps = plan(&mut planner, START, &directory(endpoints), true);
     assert!(
         matches!(steps.as_slice(), [Step::Close(key)] if *key == group_key),
@@ -349,13 +349,13 @@
         engine
     });
     let directory = directory(endpoints);
-    let mut first = Planner::new(Fence(4), 0);
+    let mut first = Planner::new(FencingToken(4), 0);
     let named = |steps: &[Step]| match steps.first() {
         Some(Step::Join(formation)) => formation.key.clone(),
         other => panic!("no group was formed: {other:?}"),
     };
     let before = named(&plan(&mut first, START, &directory, true));
-    let mut second = Planner::new(Fence(4), first.formed_count());
+    let mut second = Planner::new(FencingToken(4), first.formed_count());
     let after = named(&plan(&mut second, START, &directory, true));
     assert_ne!(before, after);
     assert!(after.epoch > before.epoch);
@@ -365,7 +365,7 @@
 /// that repeatedly loses its engines would use up that limit alone.
 #[test]
 fn loads_in_traffic_stay_within_their_share_of_the_rate_limit() {
-    let mut planner = Planner::new(Fence(1), 0);
+    let mut planner = Planner::new(FencingToken(1), 0);
     let mut started = 0;
     for round in 0..40 {
         let names: Vec<String> = (0..5).map(|index| format!("e{round}-{index}")).collect();
@@ -394,7 +394,7 @@
         has_traffic: true,
         demand: None,
     };
-    let steps = Planner::new(Fence(1), 0).plan(START, &input);
+    let steps = Planner::new(FencingToken(1), 0).plan(START, &input);
     let started = steps
         .iter()
         .filter(|step| matches!(step, Step::Stage { .. }));
@@ -431,7 +431,7 @@
         has_traffic: true,
         demand: None,
     };
-    let steps = Planner::new(Fence(1), 0).plan(START, &input);
+    let steps = Planner::new(FencingToken(1), 0).plan(START, &input);
     let staged = steps.iter().filter_map(|step| match step {
         Step::Stage { endpoint, .. } => Some(endpoint.as_str()),
         _ => None,
--- a/crates/sesamecart-fleet/src/planner/tests/domains.rs
+++ b/crates/sesamecart-fleet/src/planner/tests/domains.rs
@@ -11,7 +11,7 @@
 use crate::demand::Demand;
 use crate::directory::{Directory, GroupKey};
 use crate::endpoint::{Endpoint, GroupRole, GroupState};
-use crate::number::Fence;
+use crate::number::FencingToken;
 use crate::planner::{Planner, PlannerInput, Step};
 use crate::testkit::{engine, engine_model, service, spec};
 
@@ -42,7 +42,7 @@
                 ..spec()
             },
             engines: IndexMap::new(),
-            planner: Planner::new(Fence(1), 0),
+            planner: Planner::new(FencingToken(1), 0),
             now: START,
             in_traffic: false,
             demand: None,
--- a/crates/sesamecart-fleet/src/planner/tests/loading.rs
+++ b/crates/sesamecart-fleet/src/planner/tests/loading.rs
@@ -3,7 +3,7 @@
 use super::{START, directory, group};
 use crate::catalog::EngineSpec;
 use crate::endpoint::{Endpoint, GroupState};
-use crate::number::Fence;
+use crate::number::FencingToken;
 use crate::planner::{Planner, PlannerInput, Step};
 use crate::testkit::{engine, engine_model, id, key, model, service, spec};
 
@@ -76,7 +76,7 @@
     ];
     let spec = spec_of((6, 3));
     let engines = engines((6, 3), &free);
-    let mut planner = Planner::new(Fence(1), 0);
+    let mut planner = Planner::new(FencingToken(1), 0);
     assert_eq!(staged(&mut planner, &spec, &engines), ["free.0"]);
     assert!(staged(&mut planner, &spec, &engines).is_empty());
 }
@@ -101,7 +101,7 @@
         has_traffic: true,
         demand: None,
     };
-    let mut planner = Planner::new(Fence(1), 0);
+    let mut planner = Planner::new(FencingToken(1), 0);
     planner.record_load(START, &input, &id("free.2"), &spec.models[1]);
     assert!(staged(&mut planner, &spec, &engines).is_empty());
 }
