--- a/crates/sesamecart-entry/src/traffic/timeout.rs
+++ b/crates/sesamecart-entry/src/traffic/timeout.rs
@@ -5,7 +5,7 @@
 use futures_lite::future;
 use sesamecart_edges::{ClientError, Exchange, Reuse, Sent};
 use sesamecart_fleet::{Delivery, Endpoint};
-use sesamecart_platform::{Handover, forward};
+use sesamecart_platform::{ForwardContext, build_forwarded_request};
 use sesamecart_runtime::sleep;
 
 use crate::clock;
@@ -61,14 +61,14 @@
         attempts: &Attempts,
         last_event: Option<&str>,
     ) -> Result<Exchange, (AttemptError, bool)> {
-        let handover = Handover {
+        let handover = ForwardContext {
             endpoint: &endpoint.id,
             customer: self.customer.as_deref(),
-            left: self.caller_time_left(),
+            remaining_time: self.caller_time_left(),
             priority: self.priority(),
             last_event,
         };
-        let req = forward(&self.head, &self.body, &handover);
+        let req = build_forwarded_request(&self.head, &self.body, &handover);
         let reuse = if self.route.delivery.may_repeat() {
             Reuse::Allowed
         } else {
@@ -114,7 +114,7 @@
     /// Returns the timeout for one attempt's response.
     fn response_timeout(&self) -> Duration {
         let time_left = self.time_left();
-        let target = self.route.latency_aim.unwrap_or(MIN_RESPONSE_TIMEOUT);
+        let target = self.route.latency_target.unwrap_or(MIN_RESPONSE_TIMEOUT);
         match self.route.delivery {
             Delivery::Idempotent => {
                 time_left.min(MIN_RESPONSE_TIMEOUT.max(target * TIMEOUT_FACTOR))
@@ -143,7 +143,7 @@
         let mut tried = attempts.clone();
         tried.tried.push(endpoint.id.clone());
         loop {
-            let is_head_active = self.state.loads().is_heard_since(sent_at, &endpoint.id);
+            let is_head_active = self.state.loads().has_event_since(sent_at, &endpoint.id);
             if !is_head_active || self.has_faster_head(&tried) {
                 if is_head_active {
                     self.state.first_event_timeouts().expire(model);
--- a/crates/sesamecart-fleet/src/planner/tests/domains.rs
+++ b/crates/sesamecart-fleet/src/planner/tests/domains.rs
@@ -11,7 +11,7 @@
 use crate::demand::Demand;
 use crate::directory::{Directory, GroupKey};
 use crate::endpoint::{Endpoint, GroupRole, GroupState};
-use crate::number::Fence;
+use crate::number::FencingToken;
 use crate::planner::{Planner, PlannerInput, Step};
 use crate::testkit::{engine, engine_model, service, spec};
 
@@ -42,7 +42,7 @@
                 ..spec()
             },
             engines: IndexMap::new(),
-            planner: Planner::new(Fence(1), 0),
+            planner: Planner::new(FencingToken(1), 0),
             now: START,
             in_traffic: false,
             demand: None,
@@ -109,7 +109,7 @@
                 service: &service(),
                 spec: &self.spec,
                 directory: &directory,
-                in_traffic: self.in_traffic,
+                has_traffic: self.in_traffic,
                 demand: self.demand.as_ref(),
             };
             for step in self.planner.plan(self.now, &input) {
@@ -151,7 +151,7 @@
                         engine.group = None;
                     }
                 }
-                self.planner.dissolved(&key);
+                self.planner.record_dissolved(&key);
             }
             Step::Examine(_) => {}
         }
--- a/crates/sesamecart-fleet/src/planner/tests/loading.rs
+++ b/crates/sesamecart-fleet/src/planner/tests/loading.rs
@@ -3,7 +3,7 @@
 use super::{START, directory, group};
 use crate::catalog::EngineSpec;
 use crate::endpoint::{Endpoint, GroupState};
-use crate::number::Fence;
+use crate::number::FencingToken;
 use crate::planner::{Planner, PlannerInput, Step};
 use crate::testkit::{engine, engine_model, id, key, model, service, spec};
 
@@ -50,7 +50,7 @@
         service: &service(),
         spec,
         directory: &directory,
-        in_traffic: true,
+        has_traffic: true,
         demand: None,
     };
     let steps = planner.plan(START, &input);
@@ -76,7 +76,7 @@
     ];
     let spec = spec_of((6, 3));
     let engines = engines((6, 3), &free);
-    let mut planner = Planner::new(Fence(1), 0);
+    let mut planner = Planner::new(FencingToken(1), 0);
     assert_eq!(staged(&mut planner, &spec, &engines), ["free.0"]);
     assert!(staged(&mut planner, &spec, &engines).is_empty());
 }
@@ -98,10 +98,10 @@
         service: &service(),
         spec: &spec,
         directory: &known,
-        in_traffic: true,
+        has_traffic: true,
         demand: None,
     };
-    let mut planner = Planner::new(Fence(1), 0);
+    let mut planner = Planner::new(FencingToken(1), 0);
     planner.record_load(START, &input, &id("free.2"), &spec.models[1]);
     assert!(staged(&mut planner, &spec, &engines).is_empty());
 }
