--- a/crates/sesamecart-entry/src/controller/engines.rs
+++ b/crates/sesamecart-entry/src/controller/engines.rs
@@ -31,8 +31,8 @@
 struct KnownCount {
     incarnation: Option<Incarnation>,
     started: OrderCount,
-    /// Whether the count may be one higher: an engine that answers `Already` doesn't say whether it counted
-    /// the order.
+    /// Whether the count may be one higher: an engine that answers `AlreadyDone` doesn't say whether it
+    /// counted the order.
     ///
     /// The engine's report may be some hundred milliseconds old, so a report requested right after such an
     /// order has the count from before it, and the engine refuses the next order. This delayed each new
@@ -215,7 +215,7 @@
         self.set_count(engine, incarnation, started, false);
     }
 
-    /// Records the count after an `Already` answer to an order that was sent with the count `started`.
+    /// Records the count after an `AlreadyDone` response to an order that was sent with the count `started`.
     fn record_already(
         &self,
         engine: &EndpointId,
--- a/crates/sesamecart-entry/src/controller/lease.rs
+++ b/crates/sesamecart-entry/src/controller/lease.rs
@@ -93,17 +93,17 @@
             }
             let sent = clock::now();
             match self.store.join(&self.member, ttl, generation).await {
-                Ok(joined) => {
+                Ok(membership) => {
                     let _was_unavailable = dependency.record_success(&self.state);
-                    generation = joined.generation;
+                    generation = membership.generation;
                     let is_refused = generation <= self.highest_refused.load(Ordering::Acquire);
-                    if joined.is_holder && is_refused {
+                    if membership.is_holder && is_refused {
                         // Engines accept only a higher fence, and only a change of the group raises it.
                         self.release("an engine refused the fence").await;
                         sleep(RENEW_INTERVAL).await;
                         continue;
                     }
-                    let held = joined.is_holder.then_some(HeldLease {
+                    let held = membership.is_holder.then_some(HeldLease {
                         fence: FencingToken(generation),
                         expires_at: sent + ttl.saturating_sub(EXPIRY_MARGIN),
                     });
--- a/crates/sesamecart-entry/src/controller/steps.rs
+++ b/crates/sesamecart-entry/src/controller/steps.rs
@@ -37,7 +37,7 @@
         head_has_left: bool,
         unconfirmed: Vec<EndpointId>,
     },
-    /// A group was probed and is sound.
+    /// A group was probed and is healthy.
     Sound { key: GroupKey },
 }
 
--- a/crates/sesamecart-entry/src/group_prober.rs
+++ b/crates/sesamecart-entry/src/group_prober.rs
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Returns whether a group is sound as seen from this node. If this node follows another one, that node
+    /// Returns whether a group is healthy as seen from this node. If this node follows another one, that node
     /// probes the members and this node only the head.
     pub(crate) async fn is_sound(&self, key: &GroupKey) -> bool {
         if let Some(address) = self.state.upstream()
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Probes the head of a group from this node, after the node at `address` has found the group sound.
+    /// Probes the head of a group from this node, after the node at `address` has found the group healthy.
     async fn can_reach_head(&self, address: SocketAddr, key: &GroupKey) -> bool {
         let probe = watch::probe_head(&self.state, &self.client, key).await;
         let is_sound = matches!(probe, MemberProbe::Member(_));
--- a/crates/sesamecart-entry/src/state/budgets.rs
+++ b/crates/sesamecart-entry/src/state/budgets.rs
@@ -76,43 +76,43 @@
     /// Counts a first attempt at a service, which adds to its retry budget.
     pub(crate) fn deposit_retry(&self, service: &ServiceId) {
         let now = clock::now();
-        self.with_retries(service, |allowance| allowance.deposit(now));
+        self.with_retries(service, |budget| budget.deposit(now));
     }
 
     /// Returns whether the retry budget of a service has a retry left on this node.
     pub(crate) fn has_retry(&self, service: &ServiceId) -> bool {
         let now = clock::now();
-        self.with_retries(service, |allowance| allowance.has_budget(now))
+        self.with_retries(service, |budget| budget.has_budget(now))
     }
 
     /// Takes a retry from the budget of a service, if there is one left.
     pub(crate) fn try_withdraw_retry(&self, service: &ServiceId) -> bool {
         let now = clock::now();
-        self.with_retries(service, |allowance| allowance.try_withdraw(now))
+        self.with_retries(service, |budget| budget.try_withdraw(now))
     }
 
     fn with_retries<T>(&self, service: &ServiceId, f: impl FnOnce(&mut RetryBudget) -> T) -> T {
         let nodes = self.nodes.load().len();
         let mut retries = lock(&self.retries);
         if !retries.contains_key(service) {
-            let allowance = RetryBudget::new(self.settings.bounds.retry_share(), nodes);
-            retries.insert(service.clone(), allowance);
+            let budget = RetryBudget::new(self.settings.bounds.retry_share(), nodes);
+            retries.insert(service.clone(), budget);
         }
-        let allowance = &mut retries[service];
-        allowance.set_nodes(nodes);
-        f(allowance)
+        let budget = &mut retries[service];
+        budget.set_nodes(nodes);
+        f(budget)
     }
 
     /// Takes one request from this node's share of the request rate that a cold endpoint can serve.
     pub(crate) fn try_take_cold_request(&self, endpoint: &Endpoint, per_s: f64) -> bool {
         let now = clock::now();
         let mut cold = lock(&self.cold);
-        let allowance = cold.entry(endpoint.id.clone()).or_insert_with(|| {
+        let limit = cold.entry(endpoint.id.clone()).or_insert_with(|| {
             let nodes = self.nodes.load();
             let rank = rank(&self.settings.node, &nodes, &endpoint.id);
             ColdRateLimit::new(now, per_s, rank, nodes.len())
         });
-        allowance.try_take(now)
+        limit.try_take(now)
     }
 }
 
--- a/crates/sesamecart-entry/src/traffic/timeout.rs
+++ b/crates/sesamecart-entry/src/traffic/timeout.rs
@@ -61,14 +61,14 @@
         attempts: &Attempts,
         last_event: Option<&str>,
     ) -> Result<Exchange, (AttemptError, bool)> {
-        let handover = ForwardContext {
+        let context = ForwardContext {
             endpoint: &endpoint.id,
             customer: self.customer.as_deref(),
             remaining_time: self.caller_time_left(),
             priority: self.priority(),
             last_event,
         };
-        let req = build_forwarded_request(&self.head, &self.body, &handover);
+        let req = build_forwarded_request(&self.head, &self.body, &context);
         let reuse = if self.route.delivery.may_repeat() {
             Reuse::Allowed
         } else {
--- a/crates/sesamecart-entry/src/watch.rs
+++ b/crates/sesamecart-entry/src/watch.rs
@@ -76,20 +76,20 @@
     pub(crate) silent: Vec<EndpointId>,
 }
 
-/// Probes the members of a group, writes the finding to the decision log and returns the verdict.
+/// Probes the members of a group, writes the results to the decision log and returns the verdict.
 pub(crate) async fn probe_group(
     state: &EntryState,
     client: &HttpClient,
     key: &GroupKey,
 ) -> GroupProbe {
     let directory = state.directory.load_full();
-    let (finding, silent) = probe_members(state, &directory, client, key).await;
-    let verdict = evaluate_group(&finding);
-    let others: Vec<String> = finding.others.iter().map(ToString::to_string).collect();
+    let (probes, silent) = probe_members(state, &directory, client, key).await;
+    let verdict = evaluate_group(&probes);
+    let others: Vec<String> = probes.others.iter().map(ToString::to_string).collect();
     state.events.write(&Event::GroupExamined {
         group: &key.to_string(),
         verdict: &verdict.to_string(),
-        finding: &format!("head {}; members {}", finding.head, others.join(", ")),
+        finding: &format!("head {}; members {}", probes.head, others.join(", ")),
     });
     GroupProbe { verdict, silent }
 }
--- a/crates/sesamecart-entry/tests/end_to_end/many_nodes.rs
+++ b/crates/sesamecart-entry/tests/end_to_end/many_nodes.rs
@@ -99,14 +99,14 @@
             });
         }
     });
-    let queries: u32 = members()
+    let probes: u32 = members()
         .map(|member| member.report_requests())
         .sum::<u32>()
         - before;
-    let per_member = queries as usize / members().count();
+    let per_member = probes as usize / members().count();
     assert!(
         per_member < others.len(),
-        "each of {} nodes sends queries: {per_member} for each member",
+        "each of {} nodes sends probes: {per_member} for each member",
         others.len()
     );
     for node in others {
--- a/crates/sesamecart-fleet/examples/plan.rs
+++ b/crates/sesamecart-fleet/examples/plan.rs
@@ -43,13 +43,13 @@
     service: &ServiceId,
     spec: &EngineSpec,
     directory: &Directory,
-    in_traffic: bool,
+    has_traffic: bool,
 ) -> Duration {
     let input = PlannerInput {
         service,
         spec,
         directory,
-        has_traffic: in_traffic,
+        has_traffic,
         demand: None,
     };
     let mut durations: Vec<Duration> = (0..ROUNDS)
--- a/crates/sesamecart-fleet/src/allowance.rs
+++ b/crates/sesamecart-fleet/src/allowance.rs
@@ -32,7 +32,7 @@
 /// would be only a few retries, but the loss of a group ends more of its streams at once.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
-    share: RetryLimit,
+    limit: RetryLimit,
     saved: f64,
     max_saved: f64,
     /// The unused retries earned recently, one entry per [`SLICE_DURATION`], newest first.
@@ -59,10 +59,10 @@
 impl RetryBudget {
     /// Creates the budget of one node in a fleet of `nodes` nodes.
     #[must_use]
-    pub fn new(share: RetryLimit, nodes: usize) -> Self {
-        let max_saved = share.burst * SHARED_FRACTION / nodes.max(1) as f64;
+    pub fn new(limit: RetryLimit, nodes: usize) -> Self {
+        let max_saved = limit.burst * SHARED_FRACTION / nodes.max(1) as f64;
         Self {
-            share,
+            limit,
             saved: max_saved,
             max_saved,
             earned: [0.0; SLICE_COUNT],
@@ -72,14 +72,14 @@
 
     /// Adjusts the share to a new number of nodes.
     pub fn set_nodes(&mut self, nodes: usize) {
-        self.max_saved = self.share.burst * SHARED_FRACTION / nodes.max(1) as f64;
+        self.max_saved = self.limit.burst * SHARED_FRACTION / nodes.max(1) as f64;
         self.saved = self.saved.min(self.max_saved);
     }
 
     /// Adds the fraction of a retry that a request earns.
     pub fn deposit(&mut self, now: Timestamp) {
         self.expire_earned(now);
-        self.earned[0] += self.share.ratio * SHARED_FRACTION;
+        self.earned[0] += self.limit.ratio * SHARED_FRACTION;
     }
 
     /// Returns whether the budget allows a retry.
--- a/crates/sesamecart-fleet/src/allowance/tests.rs
+++ b/crates/sesamecart-fleet/src/allowance/tests.rs
@@ -6,7 +6,7 @@
 
 use super::{ColdRateLimit, RetryBudget, RetryLimit};
 
-const SHARE: RetryLimit = RetryLimit {
+const LIMIT: RetryLimit = RetryLimit {
     ratio: 0.2,
     burst: 132.0,
 };
@@ -19,17 +19,17 @@
         let mut retried = 0;
         let mut requests = 0;
         for _ in 0..nodes {
-            let mut allowance = RetryBudget::new(SHARE, nodes);
+            let mut budget = RetryBudget::new(LIMIT, nodes);
             for index in 0..50 {
                 let now = Timestamp::from_millis(index * 200);
                 requests += 1;
-                allowance.deposit(now);
-                while allowance.try_withdraw(now) {
+                budget.deposit(now);
+                while budget.try_withdraw(now) {
                     retried += 1;
                 }
             }
         }
-        let limit = SHARE.ratio * f64::from(requests) + SHARE.burst;
+        let limit = LIMIT.ratio * f64::from(requests) + LIMIT.burst;
         assert!(
             f64::from(retried) <= limit,
             "{nodes} nodes: {retried} of {limit}"
@@ -43,7 +43,7 @@
 fn bursts_of_saved_retries_stay_within_the_fleet_limit() {
     const NODES: usize = 7;
     const WINDOW_MS: u64 = 10_000;
-    let mut nodes = vec![RetryBudget::new(SHARE, NODES); NODES];
+    let mut nodes = vec![RetryBudget::new(LIMIT, NODES); NODES];
     let (mut requests, mut retries) = (Vec::new(), Vec::new());
     for ms in (0..60_000).step_by(10) {
         let now = Timestamp::from_millis(ms);
@@ -66,7 +66,7 @@
     for from in (WINDOW_MS..50_000).step_by(100) {
         let windows = [from, from - WINDOW_MS / 2, from - WINDOW_MS];
         let most = windows.map(|from| within(&requests, from));
-        let limit = SHARE.ratio * most.into_iter().fold(0.0, f64::max) + SHARE.burst;
+        let limit = LIMIT.ratio * most.into_iter().fold(0.0, f64::max) + LIMIT.burst;
         let retried = within(&retries, from);
         assert!(
             retried <= limit,
@@ -80,23 +80,20 @@
 /// anything.
 #[test]
 fn recently_earned_retries_can_be_used_at_once() {
-    let share = RetryLimit {
+    let limit = RetryLimit {
         ratio: 0.2,
         burst: 272.0,
     };
-    let mut allowance = RetryBudget::new(share, 71);
+    let mut budget = RetryBudget::new(limit, 71);
     let start = Timestamp::from_millis(5_000);
     for index in 0..15 {
-        allowance.deposit(start + Duration::from_millis(index * 150));
+        budget.deposit(start + Duration::from_millis(index * 150));
     }
     let now = start + Duration::from_millis(2_300);
-    let taken = (0..100).filter(|_| allowance.try_withdraw(now)).count();
+    let taken = (0..100).filter(|_| budget.try_withdraw(now)).count();
     assert_eq!(taken, 5, "3 from the share and 2 of the 2.4 earned");
     let later = now + Duration::from_secs(60);
-    assert!(
-        !allowance.try_withdraw(later),
-        "no retries were earned since"
-    );
+    assert!(!budget.try_withdraw(later), "no retries were earned since");
 }
 
 /// A cold endpoint fails if all nodes at once send it the load that it can handle when warm.
@@ -104,16 +101,16 @@
 fn requests_of_all_nodes_to_a_cold_endpoint_stay_within_its_rate() {
     let per_s = 38.0;
     for nodes in [1, 4, 7, 71] {
-        let mut shares: Vec<ColdRateLimit> = (0..nodes)
+        let mut limits: Vec<ColdRateLimit> = (0..nodes)
             .map(|rank| ColdRateLimit::new(Timestamp::ZERO, per_s, rank, nodes))
             .collect();
         let mut taken = Vec::new();
         for ms in 0..3_000_u64 {
             let now = Timestamp::from_millis(ms);
             taken.extend(
-                shares
+                limits
                     .iter_mut()
-                    .filter_map(|share| share.try_take(now).then_some(ms)),
+                    .filter_map(|limit| limit.try_take(now).then_some(ms)),
             );
         }
         let in_any_second = |from: u64| {
@@ -137,8 +134,8 @@
 /// A node must not accumulate the unused limit of a long idle time.
 #[test]
 fn unused_limit_for_a_cold_endpoint_does_not_accumulate() {
-    let mut share = ColdRateLimit::new(Timestamp::ZERO, 38.0, 0, 7);
+    let mut limit = ColdRateLimit::new(Timestamp::ZERO, 38.0, 0, 7);
     let later = Timestamp::ZERO + Duration::from_secs(60);
-    assert!(share.try_take(later));
-    assert!(!share.try_take(later));
+    assert!(limit.try_take(later));
+    assert!(!limit.try_take(later));
 }
--- a/crates/sesamecart-fleet/src/catalog.rs
+++ b/crates/sesamecart-fleet/src/catalog.rs
@@ -21,7 +21,7 @@
     /// A request runs at most once per attempt of its caller.
     #[display("at most once")]
     AtMostOnce,
-    /// The answer is a stream of events.
+    /// The response is a stream of events.
     #[display("stream")]
     Stream {
         /// Whether another endpoint may continue the stream after the last event.
@@ -36,7 +36,7 @@
         matches!(self, Self::Idempotent | Self::Stream { resumable: true })
     }
 
-    /// Returns whether the answer is forwarded event by event.
+    /// Returns whether the response is forwarded event by event.
     #[must_use]
     pub const fn is_stream(self) -> bool {
         matches!(self, Self::Stream { .. })
@@ -65,7 +65,7 @@
     pub delivery: Delivery,
     /// The maximum time that a caller has to wait.
     pub time_limit: Option<Duration>,
-    /// The promised time to an answer, or of a stream to its first event.
+    /// The promised time to a response, or of a stream to its first event.
     pub latency_target: Option<Duration>,
     /// The promised maximum gap between two events of a stream.
     pub event_gap_target: Option<Duration>,
--- a/crates/sesamecart-fleet/src/demand/tests.rs
+++ b/crates/sesamecart-fleet/src/demand/tests.rs
@@ -24,7 +24,7 @@
 
 /// Records `per_s` requests per second that take `group_time` each, for `time` from `from` on.
 fn record_requests(
-    book: &mut DemandTracker,
+    tracker: &mut DemandTracker,
     from: Timestamp,
     time: Duration,
     name: &str,
@@ -34,7 +34,7 @@
     let interval = Duration::from_secs(1) / per_s;
     let mut now = from;
     while now < from + time {
-        book.note(now, &model(name), group_time, TOKENS);
+        tracker.note(now, &model(name), group_time, TOKENS);
         now = now + interval;
     }
 }
@@ -49,74 +49,111 @@
 
 #[test]
 fn demand_is_request_rate_times_group_time() {
-    let mut book = DemandTracker::default();
+    let mut tracker = DemandTracker::default();
     let time = Duration::from_secs(10);
-    record_requests(&mut book, START, time, "m", 50, Duration::from_millis(40));
-    assert_close(book.own(START + time).groups(&model("m")), 2.0);
+    record_requests(
+        &mut tracker,
+        START,
+        time,
+        "m",
+        50,
+        Duration::from_millis(40),
+    );
+    assert_close(tracker.own(START + time).groups(&model("m")), 2.0);
 }
 
 /// In the first seconds of traffic, the sum covers less than the full time constant. Divided by the latter,
 /// it would give too low a rate.
 #[test]
 fn demand_is_not_underestimated_when_traffic_has_just_started() {
-    let mut book = DemandTracker::default();
+    let mut tracker = DemandTracker::default();
     let time = Duration::from_secs(2);
-    record_requests(&mut book, START, time, "m", 50, Duration::from_millis(40));
-    assert_close(book.own(START + time).groups(&model("m")), 2.0);
+    record_requests(
+        &mut tracker,
+        START,
+        time,
+        "m",
+        50,
+        Duration::from_millis(40),
+    );
+    assert_close(tracker.own(START + time).groups(&model("m")), 2.0);
 }
 
 #[test]
 fn demand_decays_when_requests_stop() {
-    let mut book = DemandTracker::default();
+    let mut tracker = DemandTracker::default();
     let time = Duration::from_secs(10);
-    record_requests(&mut book, START, time, "m", 50, Duration::from_millis(40));
+    record_requests(
+        &mut tracker,
+        START,
+        time,
+        "m",
+        50,
+        Duration::from_millis(40),
+    );
     let later = START + time + Duration::from_secs(9);
-    assert!(book.own(later).groups(&model("m")) < 0.2);
+    assert!(tracker.own(later).groups(&model("m")) < 0.2);
 }
 
 #[test]
 fn fleet_demand_is_extrapolated_from_reporting_nodes() {
-    let mut book = DemandTracker::default();
+    let mut tracker = DemandTracker::default();
     let time = Duration::from_secs(10);
-    record_requests(&mut book, START, time, "m", 50, Duration::from_millis(10));
+    record_requests(
+        &mut tracker,
+        START,
+        time,
+        "m",
+        50,
+        Duration::from_millis(10),
+    );
     for peer in ["n2", "n3"] {
         let demand: Demand = [(model("m"), 0.5), (model("other"), 0.25)]
             .into_iter()
             .collect();
-        book.apply_peer_demand(START, &node(peer), demand);
+        tracker.apply_peer_demand(START, &node(peer), demand);
     }
-    let all = book.estimate(START + time, 60).expect("demand is known");
+    let all = tracker.estimate(START + time, 60).expect("demand is known");
     assert_close(all.groups(&model("m")), 30.0);
     assert_close(all.groups(&model("other")), 10.0);
-    book.drop_peer(&node("n2"));
-    let all = book.estimate(START + time, 60).expect("demand is known");
+    tracker.drop_peer(&node("n2"));
+    let all = tracker.estimate(START + time, 60).expect("demand is known");
     assert_close(all.groups(&model("other")), 7.5);
 }
 
 /// Groups that are moved because of the first request alone would be moved back a second later.
 #[test]
 fn demand_is_unknown_before_the_minimum_observation_time() {
-    let mut book = DemandTracker::default();
-    assert_eq!(book.estimate(START, 3), None);
-    book.note(START, &model("m"), Duration::from_millis(40), TOKENS);
-    assert_eq!(book.estimate(START + Duration::from_millis(500), 3), None);
-    assert!(book.estimate(START + Duration::from_secs(2), 3).is_some());
+    let mut tracker = DemandTracker::default();
+    assert_eq!(tracker.estimate(START, 3), None);
+    tracker.note(START, &model("m"), Duration::from_millis(40), TOKENS);
+    assert_eq!(
+        tracker.estimate(START + Duration::from_millis(500), 3),
+        None
+    );
+    assert!(
+        tracker
+            .estimate(START + Duration::from_secs(2), 3)
+            .is_some()
+    );
 }
 
 #[test]
 fn mean_tokens_are_known_after_the_minimum_number_of_requests() {
-    let mut book = DemandTracker::default();
+    let mut tracker = DemandTracker::default();
     let time = Duration::from_millis(40);
-    book.note(START, &model("m"), time, TOKENS);
-    assert_eq!(book.mean_tokens(START, &model("m")), None);
+    tracker.note(START, &model("m"), time, TOKENS);
+    assert_eq!(tracker.mean_tokens(START, &model("m")), None);
     for prompt in [100.0, 400.0, 1_600.0] {
         let tokens = TokenCounts {
             prompt,
             answer: 150.0,
         };
-        book.note(START, &model("m"), time, tokens);
+        tracker.note(START, &model("m"), time, tokens);
     }
-    let mean = book.mean_tokens(START, &model("m")).expect("mean is known");
+    let mean = tracker
+        .mean_tokens(START, &model("m"))
+        .expect("mean is known");
     assert_close(mean.prompt, 700.0);
     assert_close(mean.answer, 150.0);
 }
--- a/crates/sesamecart-fleet/src/first_event.rs
+++ b/crates/sesamecart-fleet/src/first_event.rs
@@ -1,6 +1,6 @@
 //! Timeouts for the first event of a stream, after which another head is considered.
 //!
-//! With a fixed timeout, nodes would give up on busy heads whose answers are still coming, and the retries
+//! With a fixed timeout, nodes would give up on busy heads whose responses are still coming, and the retries
 //! would read the same prompts again on other heads. Therefore the timeout follows the observed times, like
 //! a transport's retransmission timeout, and doubles when it expires at a head that is working.
 
@@ -12,7 +12,7 @@
 #[cfg(test)]
 mod tests;
 
-/// The minimum timeout, after which a lost answer is retried.
+/// The minimum timeout, after which a lost response is retried.
 const MIN_FIRST_EVENT_TIMEOUT: Duration = Duration::from_millis(1_200);
 
 /// The number of mean deviations that the timeout exceeds the mean by.
--- a/crates/sesamecart-fleet/src/loads.rs
+++ b/crates/sesamecart-fleet/src/loads.rs
@@ -90,7 +90,7 @@
 /// The longest ejection of an endpoint that keeps failing.
 const MAX_EJECTION_TIME: Duration = Duration::from_secs(4);
 
-/// The number of consecutive failures that ejects an endpoint. A single lost answer is not evidence enough.
+/// The number of consecutive failures that ejects an endpoint. A single lost response is not evidence enough.
 const FAILURES_BEFORE_EJECTION: u32 = 2;
 
 /// The additional weight of a request that waits for its first event, in requests per slot.
@@ -217,8 +217,8 @@
     }
 
     /// Sets the number of other nodes, not counting those that are considered gone.
-    pub fn set_other_nodes(&mut self, others: usize) {
-        self.other_nodes = others;
+    pub fn set_other_nodes(&mut self, other_nodes: usize) {
+        self.other_nodes = other_nodes;
     }
 
     /// Returns the number of other nodes, not counting those that are considered gone.
@@ -322,7 +322,7 @@
         loads.filter_map(|(id, load)| load.own_report.map(|(report, at)| (id, report, at)))
     }
 
-    /// Records the first event of a request's answer.
+    /// Records the first event of a request's response.
     pub fn record_first_event(&mut self, now: Timestamp, id: &EndpointId) {
         self.load(id).stall_detector.record_first_event(now);
     }
@@ -339,15 +339,15 @@
         self.load(id).stall_detector.record_event(now);
     }
 
-    /// Records the end of a request; `begun` is whether its first event had arrived.
-    pub fn record_end(&mut self, id: &EndpointId, begun: bool) {
+    /// Records the end of a request; `has_started` is whether its first event had arrived.
+    pub fn record_end(&mut self, id: &EndpointId, has_started: bool) {
         let load = self.load(id);
         load.in_flight = load.in_flight.saturating_sub(1);
         load.net_sent -= 1;
-        load.stall_detector.record_end(begun);
+        load.stall_detector.record_end(has_started);
     }
 
-    /// Records a successful answer, which ends an ejection.
+    /// Records a successful response, which ends an ejection.
     pub fn record_success(&mut self, id: &EndpointId) {
         let load = self.load(id);
         load.failures = 0;
@@ -371,7 +371,8 @@
         self.load(id).ejected_until = now + time;
     }
 
-    /// Returns the endpoints whose group members are due to be probed because no events arrive.
+    /// Returns the endpoints whose group members are due to be probed because no events arrive, and
+    /// records the probes as started.
     pub fn start_due_probes(&mut self, now: Timestamp, limits: StallLimits) -> Vec<EndpointId> {
         let loads = self.loads.iter_mut();
         loads
--- a/crates/sesamecart-fleet/src/planner.rs
+++ b/crates/sesamecart-fleet/src/planner.rs
@@ -88,7 +88,7 @@
         /// The model.
         model: ModelId,
     },
-    /// Ask the members of a group whether the group is sound.
+    /// Ask the members of a group whether the group is healthy.
     Examine(GroupKey),
     /// Dissolve a group whose formation nobody is driving. Its head isn't open.
     Dissolve(GroupKey),
@@ -233,7 +233,7 @@
         }
     }
 
-    /// Records that the load of an engine wasn't started.
+    /// Removes the record of an engine's load, because it wasn't started.
     pub fn cancel_load(&mut self, endpoint: &EndpointId) {
         self.loading.swap_remove(endpoint);
     }
--- a/crates/sesamecart-fleet/src/planner/tests.rs
+++ b/crates/sesamecart-fleet/src/planner/tests.rs
@@ -30,14 +30,14 @@
     planner: &mut Planner,
     now: Timestamp,
     directory: &Directory,
-    in_traffic: bool,
+    has_traffic: bool,
 ) -> Vec<Step> {
     let (service, spec) = (service(), spec());
     let input = PlannerInput {
         service: &service,
         spec: &spec,
         directory,
-        has_traffic: in_traffic,
+        has_traffic,
         demand: None,
     };
     planner.plan(now, &input)
--- a/crates/sesamecart-fleet/src/planner/tests/conversion.rs
+++ b/crates/sesamecart-fleet/src/planner/tests/conversion.rs
@@ -29,7 +29,7 @@
     fleet.spec.loads_at_once = 20;
     fleet.spec.loads_per_s = 14.0;
     fleet.advance(Duration::from_secs(12));
-    fleet.in_traffic = true;
+    fleet.has_traffic = true;
     fleet
 }
 
--- a/crates/sesamecart-fleet/src/planner/tests/domains.rs
+++ b/crates/sesamecart-fleet/src/planner/tests/domains.rs
@@ -26,7 +26,7 @@
     engines: IndexMap<EndpointId, Endpoint>,
     planner: Planner,
     now: Timestamp,
-    pub(super) in_traffic: bool,
+    pub(super) has_traffic: bool,
     pub(super) demand: Option<Demand>,
     pub(super) evacuated: IndexSet<FailureDomainId>,
 }
@@ -44,7 +44,7 @@
             engines: IndexMap::new(),
             planner: Planner::new(FencingToken(1), 0),
             now: START,
-            in_traffic: false,
+            has_traffic: false,
             demand: None,
             evacuated: IndexSet::new(),
         };
@@ -109,7 +109,7 @@
                 service: &service(),
                 spec: &self.spec,
                 directory: &directory,
-                has_traffic: self.in_traffic,
+                has_traffic: self.has_traffic,
                 demand: self.demand.as_ref(),
             };
             for step in self.planner.plan(self.now, &input) {
@@ -252,7 +252,7 @@
     let mut fleet = Fleet::new(&[("large", 8, 0.5), ("small", 6, 0.5)], &[("a-0", 5)]);
     fleet.advance(Duration::from_secs(12));
     assert_eq!(fleet.count_holding("a-0", "small"), 5);
-    fleet.in_traffic = true;
+    fleet.has_traffic = true;
     fleet.add("a-0", "second", 1);
     fleet.advance(Duration::from_secs(14));
     assert_eq!(fleet.open_groups("small"), 1);
@@ -270,7 +270,7 @@
         (fleet.open_groups("large"), fleet.open_groups("small")),
         (1, 3)
     );
-    fleet.in_traffic = true;
+    fleet.has_traffic = true;
     let undersized = if fleet.count_holding("a-0", "large") > 0 {
         "a-0"
     } else {
@@ -351,7 +351,7 @@
         fleet.add(&domain(index), "first", usize::from(engines % 17));
     }
     fleet.advance(Duration::from_secs(12));
-    fleet.in_traffic = true;
+    fleet.has_traffic = true;
     for (index, engines) in &scenario.losses {
         let index = usize::from(*index) % scenario.domains.len();
         fleet.remove(&domain(index), usize::from(engines % 9));
--- a/crates/sesamecart-fleet/src/repair.rs
+++ b/crates/sesamecart-fleet/src/repair.rs
@@ -29,7 +29,7 @@
 pub struct GroupProbes {
     /// The result for the head.
     pub head: MemberProbe,
-    /// The results for the other members. A member with an unknown address counts as silent.
+    /// The results for the other members. A member with an unknown address counts as unreachable.
     pub others: Vec<MemberProbe>,
 }
 
@@ -54,12 +54,12 @@
 /// they would be in two groups at once. Therefore groups whose head can be ordered to leave are
 /// distinguished from groups whose members have to leave by themselves.
 #[must_use]
-pub fn evaluate_group(finding: &GroupProbes) -> GroupHealth {
-    match finding.head {
+pub fn evaluate_group(probes: &GroupProbes) -> GroupHealth {
+    match probes.head {
         MemberProbe::Unreachable => GroupHealth::HeadUnreachable,
         MemberProbe::OtherMembership | MemberProbe::Member(GroupState::Broken) => GroupHealth::Lost,
         MemberProbe::Member(_) => {
-            let is_complete = finding.others.iter().all(
+            let is_complete = probes.others.iter().all(
                 |other| matches!(other, MemberProbe::Member(state) if *state != GroupState::Broken),
             );
             if is_complete {
--- a/crates/sesamecart-fleet/src/repair/tests.rs
+++ b/crates/sesamecart-fleet/src/repair/tests.rs
@@ -1,4 +1,4 @@
-//! Tests the verdict on a group for the results of probing its members.
+//! Tests the health of a group for the results of probing its members.
 
 use super::{GroupHealth, GroupProbes, MemberProbe, evaluate_group};
 use crate::endpoint::GroupState;
@@ -8,21 +8,21 @@
 const BROKEN: MemberProbe = MemberProbe::Member(GroupState::Broken);
 
 macro_rules! verdicts {
-    ($($name:ident: $head:expr, $others:expr => $verdict:expr;)*) => {
+    ($($name:ident: $head:expr, $others:expr => $health:expr;)*) => {
         $(
             #[test]
             fn $name() {
-                let finding = GroupProbes { head: $head, others: $others.to_vec() };
-                assert_eq!(evaluate_group(&finding), $verdict);
+                let probes = GroupProbes { head: $head, others: $others.to_vec() };
+                assert_eq!(evaluate_group(&probes), $health);
             }
         )*
     };
 }
 
 verdicts! {
-    a_complete_group_is_sound: OPEN, [READY, READY] => GroupHealth::Healthy;
-    a_group_of_one_is_sound: OPEN, [] => GroupHealth::Healthy;
-    a_group_with_a_silent_member_is_lost: OPEN, [READY, MemberProbe::Unreachable] => GroupHealth::Lost;
+    a_complete_group_is_healthy: OPEN, [READY, READY] => GroupHealth::Healthy;
+    a_group_of_one_is_healthy: OPEN, [] => GroupHealth::Healthy;
+    a_group_with_an_unreachable_member_is_lost: OPEN, [READY, MemberProbe::Unreachable] => GroupHealth::Lost;
     a_group_with_a_member_in_another_group_is_lost: OPEN, [MemberProbe::OtherMembership] => GroupHealth::Lost;
     a_group_with_a_broken_member_is_lost: OPEN, [BROKEN] => GroupHealth::Lost;
     a_group_with_a_broken_head_is_lost: BROKEN, [READY] => GroupHealth::Lost;
@@ -34,9 +34,9 @@
 /// engines of two groups.
 #[test]
 fn an_unreachable_head_is_not_assumed_to_have_stopped() {
-    let finding = GroupProbes {
+    let probes = GroupProbes {
         head: MemberProbe::Unreachable,
         others: vec![READY, READY],
     };
-    assert_eq!(evaluate_group(&finding), GroupHealth::HeadUnreachable);
+    assert_eq!(evaluate_group(&probes), GroupHealth::HeadUnreachable);
 }
--- a/crates/sesamecart-fleet/src/stall_detector.rs
+++ b/crates/sesamecart-fleet/src/stall_detector.rs
@@ -83,9 +83,9 @@
         self.probes = 0;
     }
 
-    /// Records the end of a request. `begun` is whether its first event had arrived.
-    pub fn record_end(&mut self, begun: bool) {
-        let count = if begun {
+    /// Records the end of a request. `has_started` is whether its first event had arrived.
+    pub fn record_end(&mut self, has_started: bool) {
+        let count = if has_started {
             &mut self.streaming
         } else {
             &mut self.waiting
