--- a/crates/sesamecart-actions/src/commit.rs
+++ b/crates/sesamecart-actions/src/commit.rs
@@ -71,7 +71,7 @@
 /// A batch of items for the log.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct LogBatch {
-    /// Identifies the batch in [`GroupCommit::logged`].
+    /// Identifies the batch in [`GroupCommit::finish_append`].
     pub id: u64,
     /// The items grouped by shard, for a single log record.
     pub parts: Vec<ActionPart>,
@@ -80,7 +80,7 @@
 /// A batch of one shard's intents for its voters.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct MirrorBatch {
-    /// Identifies the batch in [`GroupCommit::mirrored`].
+    /// Identifies the batch in [`GroupCommit::finish_mirror`].
     pub id: u64,
     /// The shard.
     pub shard: ShardId,
@@ -93,9 +93,9 @@
 /// The next step of the group commit.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum CommitStep {
-    /// Append this batch, read it back, and report the result with [`GroupCommit::logged`].
+    /// Append this batch, read it back, and report the result with [`GroupCommit::finish_append`].
     Append(LogBatch),
-    /// Send this batch to the shard's voters and report the result with [`GroupCommit::mirrored`].
+    /// Send this batch to the shard's voters and report the result with [`GroupCommit::finish_mirror`].
     Mirror(MirrorBatch),
     /// Nothing is due before this time.
     WaitUntil(Timestamp),
@@ -105,7 +105,7 @@
 
 /// An item and whether it was stored durably.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub enum Durable {
+pub enum CommitResult {
     /// The append was read back from the log, so the fold shows whether the item took effect.
     Logged(CommitItem),
     /// A majority of the voters stores the intent; it is appended to the log later.
@@ -126,7 +126,7 @@
     }
 }
 
-impl Durable {
+impl CommitResult {
     /// Returns the shard and the epoch of the lease under which the item was created.
     #[must_use]
     pub const fn lease(&self) -> (ShardId, Epoch) {
@@ -138,9 +138,9 @@
 
 /// The status of an intent in the fold after the log was read back.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum IntentVerdict {
+pub enum IntentStatus {
     /// The fold has accepted the intent: its attempt may be sent.
-    Stands,
+    Accepted,
     /// Another attempt for the same key came first.
     Conflict,
     /// The fold ignored the intent because its epoch had passed, or the intent isn't in the log.
@@ -152,11 +152,11 @@
 /// The order of the log decides between competing owners: even if a paused or replaced owner still considers
 /// its lease valid, the fold accepts only one attempt per key at a time.
 #[must_use]
-pub fn verdict_of(actions: &Actions, intent: &ActionIntent) -> IntentVerdict {
+pub fn intent_status(actions: &Actions, intent: &ActionIntent) -> IntentStatus {
     match actions.get(&intent.action_key()) {
-        Some(entry) if entry.attempt == intent.attempt => IntentVerdict::Stands,
-        Some(_) => IntentVerdict::Conflict,
-        None => IntentVerdict::Absent,
+        Some(entry) if entry.attempt == intent.attempt => IntentStatus::Accepted,
+        Some(_) => IntentStatus::Conflict,
+        None => IntentStatus::Absent,
     }
 }
 
@@ -213,7 +213,7 @@
 
     /// Returns whether the log is considered unavailable.
     #[must_use]
-    pub const fn is_log_out(&self) -> bool {
+    pub const fn is_log_unavailable(&self) -> bool {
         matches!(self.path, Path::Voters { .. })
     }
 
@@ -260,14 +260,19 @@
     /// After a failure, the batch's intents are sent to the voters because callers are waiting for them, and
     /// its outcomes wait until the log is available again. The record may have reached the log despite the
     /// failure; appending the items again is harmless because they have the same attempt ids.
-    pub fn logged(&mut self, now: Timestamp, id: u64, is_appended: bool) -> Vec<Durable> {
+    pub fn finish_append(
+        &mut self,
+        now: Timestamp,
+        id: u64,
+        is_appended: bool,
+    ) -> Vec<CommitResult> {
         let Some(InFlightAppend { unlogged, new }) = self.appending.shift_remove(&id) else {
             return Vec::new();
         };
         if is_appended {
             self.path = Path::Log;
             let items = unlogged.into_iter().chain(new);
-            return items.map(Durable::Logged).collect();
+            return items.map(CommitResult::Logged).collect();
         }
         let probe_at = now + self.config.probe_interval;
         self.path = Path::Voters { probe_at };
@@ -287,15 +292,15 @@
     }
 
     /// Records whether a majority of the voters stored a batch.
-    pub fn mirrored(&mut self, id: u64, is_stored: bool) -> Vec<Durable> {
+    pub fn finish_mirror(&mut self, id: u64, is_stored: bool) -> Vec<CommitResult> {
         let Some(items) = self.mirroring.shift_remove(&id) else {
             return Vec::new();
         };
         if !is_stored {
-            return items.into_iter().map(Durable::Lost).collect();
+            return items.into_iter().map(CommitResult::Lost).collect();
         }
         self.unlogged.extend(items.iter().cloned());
-        items.into_iter().map(Durable::Mirrored).collect()
+        items.into_iter().map(CommitResult::Mirrored).collect()
     }
 
     fn log_step(&mut self, now: Timestamp) -> CommitStep {
--- a/crates/sesamecart-actions/src/decision.rs
+++ b/crates/sesamecart-actions/src/decision.rs
@@ -8,11 +8,11 @@
 
 /// Identifies a pending call to the owner that is waiting for its reply.
 #[derive(Clone, Copy, Debug, Display, Eq, From, Hash, Ord, PartialEq, PartialOrd)]
-pub struct Ticket(pub u64);
+pub struct CallId(pub u64);
 
 /// A node's request for permission to send a keyed action.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Asking {
+pub struct AttemptRequest {
     /// The key that identifies the action.
     pub key: ActionKey,
     /// The hash of the body, used to detect that a key is reused for a different request.
@@ -20,7 +20,7 @@
     /// The attempt that the node would make; the node sends at most one request for this id.
     pub attempt: AttemptId,
     /// The request's deadline.
-    pub until: Timestamp,
+    pub deadline: Timestamp,
 }
 
 /// An endpoint's response, stored so that it can be replayed to repeated requests.
@@ -98,7 +98,7 @@
     }
 }
 
-/// The owner's decision on an [`Asking`].
+/// The owner's decision on an [`AttemptRequest`].
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Decision {
     /// The intent is durable: the node may send the request once, under this epoch.
--- a/crates/sesamecart-actions/src/intent_recovery.rs
+++ b/crates/sesamecart-actions/src/intent_recovery.rs
@@ -12,10 +12,10 @@
 
 /// A voter's reply to a new owner.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct Gathered {
+pub struct VoterReply {
     /// The log's tail when the voter's current process first read it; intents stored by an earlier process of
     /// the voter are lost.
-    pub settled_from: Offset,
+    pub log_tail_at_start: Offset,
     /// The intents of earlier epochs that the voter stores.
     pub intents: Vec<ActionIntent>,
 }
@@ -31,7 +31,7 @@
 
 /// The replies of the previous owner's voters to a new owner.
 #[derive(Clone, Debug)]
-pub struct Gather {
+pub struct IntentRecovery {
     /// The epoch of the previous owner.
     previous: Epoch,
     voters: IndexSet<VoterId>,
@@ -40,7 +40,7 @@
     intents: IndexMap<ActionKey, ActionIntent>,
 }
 
-impl Gather {
+impl IntentRecovery {
     /// Starts the recovery for a claim that succeeds the lease of epoch `previous`.
     #[must_use]
     pub fn new(previous: Epoch, voters: impl IntoIterator<Item = VoterId>) -> Self {
@@ -53,7 +53,7 @@
     }
 
     /// Returns the voters that haven't sent a complete reply yet.
-    pub fn unheard(&self) -> impl Iterator<Item = &VoterId> {
+    pub fn pending_voters(&self) -> impl Iterator<Item = &VoterId> {
         self.voters.difference(&self.complete_voters)
     }
 
@@ -61,21 +61,21 @@
     ///
     /// A voter whose process started after the previous owner's epoch may have lost intents. Those it returns
     /// are used, but its reply doesn't count as complete.
-    pub fn hear(&mut self, voter: &VoterId, gathered: Gathered) {
+    pub fn record_reply(&mut self, voter: &VoterId, gathered: VoterReply) {
         if !self.voters.contains(voter) {
             return;
         }
         for intent in gathered.intents {
             self.intents.entry(intent.action_key()).or_insert(intent);
         }
-        if gathered.settled_from <= Offset(self.previous.0 + 1) {
+        if gathered.log_tail_at_start <= Offset(self.previous.0 + 1) {
             self.complete_voters.insert(voter.clone());
         }
     }
 
     /// Returns the previous owner's intents once they must include every one that a majority stored.
     #[must_use]
-    pub fn complete(&self) -> Option<Vec<ActionIntent>> {
+    pub fn recovered_intents(&self) -> Option<Vec<ActionIntent>> {
         match self.progress() {
             Progress::Pending => None,
             Progress::Complete => Some(self.intents.values().cloned().collect()),
--- a/crates/sesamecart-actions/src/lib.rs
+++ b/crates/sesamecart-actions/src/lib.rs
@@ -12,11 +12,11 @@
 mod rate_limit;
 
 pub use commit::{
-    CommitConfig, CommitItem, CommitStep, Durable, GroupCommit, IntentVerdict, LogBatch,
-    MirrorBatch, verdict_of,
+    CommitConfig, CommitItem, CommitResult, CommitStep, GroupCommit, IntentStatus, LogBatch,
+    MirrorBatch, intent_status,
 };
-pub use decision::{Answer, Asking, Decision, RefusalReason, Ticket};
-pub use intent_recovery::{Gather, Gathered, VoterId};
+pub use decision::{Answer, AttemptRequest, CallId, Decision, RefusalReason};
+pub use intent_recovery::{IntentRecovery, VoterId, VoterReply};
 pub use key_time::{KeyTime, key_time};
-pub use mirror::{Mirrors, MirrorsConfig};
-pub use owner::{Effect, KnownActions, Owner, OwnerConfig};
+pub use mirror::{MirroredIntents, MirroredIntentsConfig};
+pub use owner::{Effect, Owner, OwnerConfig, OwnerContext};
--- a/crates/sesamecart-actions/src/mirror.rs
+++ b/crates/sesamecart-actions/src/mirror.rs
@@ -9,16 +9,16 @@
 use sesamecart_fold::{ActionIntent, ActionKey, Actions};
 use sesamecart_vocabulary::{Epoch, Offset, ShardId};
 
-use crate::intent_recovery::Gathered;
+use crate::intent_recovery::VoterReply;
 
 /// The limits of a voter's storage.
 #[derive(Clone, Copy, Debug)]
-pub struct MirrorsConfig {
+pub struct MirroredIntentsConfig {
     /// The maximum number of stored intents; the voter rejects further ones.
     pub max_intents: usize,
 }
 
-impl Default for MirrorsConfig {
+impl Default for MirroredIntentsConfig {
     /// Enough for an outage of several minutes at a few hundred actions per second.
     fn default() -> Self {
         Self {
@@ -36,18 +36,18 @@
 
 /// The intents that one node stores as a voter.
 #[derive(Clone, Debug)]
-pub struct Mirrors {
-    config: MirrorsConfig,
+pub struct MirroredIntents {
+    config: MirroredIntentsConfig,
     /// The log's tail when this process first read it.
     settled_from: Option<Offset>,
     stored: IndexMap<ShardId, IndexMap<ActionKey, StoredIntent>>,
     count: usize,
 }
 
-impl Mirrors {
+impl MirroredIntents {
     /// Creates a voter that hasn't read the log's tail yet and therefore stores nothing.
     #[must_use]
-    pub fn new(config: MirrorsConfig) -> Self {
+    pub fn new(config: MirroredIntentsConfig) -> Self {
         Self {
             config,
             settled_from: None,
@@ -77,7 +77,7 @@
     ///
     /// `current_epoch` is the shard's epoch in this node's own fold. If it differs from `epoch`, a claimant
     /// that the owner doesn't know of may already have queried this voter.
-    pub fn keep(
+    pub fn store(
         &mut self,
         shard: ShardId,
         epoch: Epoch,
@@ -107,12 +107,12 @@
     ///
     /// Returns `None` until this node has read the log's tail and applied the claim.
     #[must_use]
-    pub fn gather(
+    pub fn reply_to_claim(
         &self,
         shard: ShardId,
         claim: Epoch,
         current_epoch: Option<Epoch>,
-    ) -> Option<Gathered> {
+    ) -> Option<VoterReply> {
         let settled_from = self.settled_from?;
         if current_epoch.is_none_or(|epoch| epoch < claim) {
             return None;
@@ -124,8 +124,8 @@
             .filter(|stored| stored.epoch < claim)
             .map(|stored| stored.intent.clone())
             .collect();
-        Some(Gathered {
-            settled_from,
+        Some(VoterReply {
+            log_tail_at_start: settled_from,
             intents,
         })
     }
--- a/crates/sesamecart-actions/src/owner.rs
+++ b/crates/sesamecart-actions/src/owner.rs
@@ -11,7 +11,7 @@
 use sesamecart_vocabulary::{AttemptId, BodyDigest, Epoch, ShardId, Timestamp};
 
 use crate::commit::CommitItem;
-use crate::decision::{Answer, Asking, Decision, RefusalReason, Ticket};
+use crate::decision::{Answer, AttemptRequest, CallId, Decision, RefusalReason};
 use crate::key_time::{KeyTime, key_time};
 use durable::action_outcome;
 use entry::{Entry, Phase, Waiter};
@@ -38,14 +38,14 @@
             max_waiters: 64,
             outcome_grace_period: Duration::from_secs(2),
             retry_after: Duration::from_millis(250),
-            horizon_ms: sesamecart_fold::ACTION_HORIZON_MS,
+            horizon_ms: sesamecart_fold::ACTION_RETENTION_MS,
         }
     }
 }
 
 /// The inputs to one decision of an owner.
 #[derive(Clone, Copy, Debug)]
-pub struct KnownActions<'a> {
+pub struct OwnerContext<'a> {
     /// The current time on this process's clock.
     pub now: Timestamp,
     /// The wall-clock time in milliseconds.
@@ -60,9 +60,9 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Effect {
     /// Reply to a call with a decision.
-    Reply(Ticket, Decision),
+    Reply(CallId, Decision),
     /// Tell a node whether the outcome that it reported is durable.
-    Recorded(Ticket, bool),
+    AckOutcome(CallId, bool),
     /// Store this item durably.
     Commit(CommitItem),
 }
@@ -96,7 +96,8 @@
 }
 
 impl Owner {
-    /// Creates the owner for a newly acquired lease; it refuses new actions until [`Self::adopt`] is called.
+    /// Creates the owner for a newly acquired lease; it refuses new actions until
+    /// [`Self::complete_takeover`] is called.
     #[must_use]
     pub fn new(shard: ShardId, epoch: Epoch, config: OwnerConfig) -> Self {
         Self {
@@ -119,13 +120,13 @@
     ///
     /// Before it claims, the caller must make sure that the log has every intent of the old epoch, because
     /// the next owner queries only the new voters.
-    pub const fn renew(&mut self, epoch: Epoch) {
+    pub const fn set_epoch(&mut self, epoch: Epoch) {
         self.epoch = epoch;
     }
 
     /// Returns whether this owner holds or has held the epoch.
     #[must_use]
-    pub fn held(&self, epoch: Epoch) -> bool {
+    pub fn has_held(&self, epoch: Epoch) -> bool {
         self.since <= epoch && epoch <= self.epoch
     }
 
@@ -143,7 +144,7 @@
 
     /// Returns the number of keys whose attempt hasn't ended.
     #[must_use]
-    pub fn under_way(&self) -> usize {
+    pub fn in_flight_count(&self) -> usize {
         let ended = |entry: &&Entry| matches!(entry.phase, Phase::Ended { .. });
         self.entries.values().filter(|entry| !ended(entry)).count()
     }
@@ -156,7 +157,7 @@
 
     /// Returns whether the owner is still waiting for the intents at the previous owner's voters.
     #[must_use]
-    pub const fn is_gathering(&self) -> bool {
+    pub const fn is_recovering(&self) -> bool {
         matches!(self.readiness, Readiness::Recovering)
     }
 
@@ -165,9 +166,9 @@
     /// Each recovered action may have run, so its outcome is unknown until it is reported. If too many voters
     /// are lost, `is_complete` is false, and unknown keys are refused until the retention horizon has passed,
     /// because an action could otherwise run twice.
-    pub fn adopt(
+    pub fn complete_takeover(
         &mut self,
-        cx: KnownActions<'_>,
+        cx: OwnerContext<'_>,
         intents: Vec<ActionIntent>,
         is_complete: bool,
         out: &mut Vec<Effect>,
@@ -202,9 +203,9 @@
     /// Decides on a node's request to send an action.
     pub fn begin(
         &mut self,
-        cx: KnownActions<'_>,
-        ticket: Ticket,
-        req: Asking,
+        cx: OwnerContext<'_>,
+        ticket: CallId,
+        req: AttemptRequest,
         out: &mut Vec<Effect>,
     ) {
         let decision = match key_time(&req.key.key, cx.wall_ms, self.config.horizon_ms) {
@@ -234,10 +235,10 @@
     }
 
     /// Records the outcome of an attempt.
-    pub fn finish(
+    pub fn record_outcome(
         &mut self,
-        cx: KnownActions<'_>,
-        ticket: Ticket,
+        cx: OwnerContext<'_>,
+        ticket: CallId,
         key: &ActionKey,
         attempt: &AttemptId,
         end: ActionEnd,
@@ -249,13 +250,13 @@
             Some(known_attempt) if known_attempt == attempt => {}
             // Another attempt is current, so this one was never granted or is superseded.
             Some(_) => {
-                out.push(Effect::Recorded(ticket, true));
+                out.push(Effect::AckOutcome(ticket, true));
                 return;
             }
             // The intent may not have been recovered yet, and an outcome takes effect only after its intent.
             None => {
-                let is_redundant = end == ActionEnd::NotRun && !self.is_gathering();
-                out.push(Effect::Recorded(ticket, is_redundant));
+                let is_redundant = end == ActionEnd::NotRun && !self.is_recovering();
+                out.push(Effect::AckOutcome(ticket, is_redundant));
                 return;
             }
         }
@@ -263,13 +264,13 @@
             && entry.attempt == *attempt
             && !matches!(entry.end, None | Some(ActionEnd::Unknown))
         {
-            out.push(Effect::Recorded(ticket, true));
+            out.push(Effect::AckOutcome(ticket, true));
             return;
         }
         let entry = self.entry_for_outcome(cx, key, attempt);
         let (is_new, waiters) = entry.set_outcome(end, cx.now);
         if !is_new && entry.is_logged() {
-            out.push(Effect::Recorded(ticket, true));
+            out.push(Effect::AckOutcome(ticket, true));
             return;
         }
         entry.recorders.push(ticket);
@@ -282,7 +283,7 @@
     }
 
     /// Ends attempts whose deadline has passed, and removes entries that the log has.
-    pub fn tick(&mut self, cx: KnownActions<'_>, out: &mut Vec<Effect>) {
+    pub fn tick(&mut self, cx: OwnerContext<'_>, out: &mut Vec<Effect>) {
         let horizon = Duration::from_millis(self.config.horizon_ms);
         let mut timed_out = Vec::new();
         self.entries.retain(|key, entry| match &entry.phase {
@@ -309,7 +310,7 @@
     }
 
     /// Ends the ownership, and tells all waiting calls to ask the next owner.
-    pub fn depose(self, out: &mut Vec<Effect>) {
+    pub fn step_down(self, out: &mut Vec<Effect>) {
         for entry in self.entries.into_values() {
             if let Phase::Committing { ticket, .. } = entry.phase {
                 out.push(Effect::Reply(ticket, Decision::NotOwner));
@@ -318,7 +319,7 @@
                 out.push(Effect::Reply(waiter.ticket, Decision::NotOwner));
             }
             for ticket in entry.recorders {
-                out.push(Effect::Recorded(ticket, false));
+                out.push(Effect::AckOutcome(ticket, false));
             }
         }
     }
@@ -327,7 +328,7 @@
     ///
     /// The node that was granted the attempt may have crashed before or after sending it, so the outcome is
     /// unknown. Waiting calls are notified at once.
-    fn time_out(&mut self, cx: KnownActions<'_>, key: &ActionKey, out: &mut Vec<Effect>) {
+    fn time_out(&mut self, cx: OwnerContext<'_>, key: &ActionKey, out: &mut Vec<Effect>) {
         let Some(entry) = self.entries.get_mut(key) else {
             return;
         };
@@ -344,9 +345,9 @@
     /// Begins an action whose key is unknown, or refuses it.
     fn begin_new(
         &mut self,
-        cx: KnownActions<'_>,
-        ticket: Ticket,
-        req: Asking,
+        cx: OwnerContext<'_>,
+        ticket: CallId,
+        req: AttemptRequest,
         out: &mut Vec<Effect>,
     ) {
         let refusal = match self.readiness {
@@ -374,7 +375,7 @@
             attempt: req.attempt,
             phase: Phase::Committing {
                 ticket,
-                until: req.until + self.config.outcome_grace_period,
+                until: req.deadline + self.config.outcome_grace_period,
             },
             waiters: Vec::new(),
             recorders: Vec::new(),
@@ -388,9 +389,9 @@
     /// have its outcome yet.
     fn decide_local(
         &mut self,
-        cx: KnownActions<'_>,
-        ticket: Ticket,
-        req: Asking,
+        cx: OwnerContext<'_>,
+        ticket: CallId,
+        req: AttemptRequest,
         out: &mut Vec<Effect>,
     ) {
         let epoch = self.epoch;
@@ -438,9 +439,9 @@
     /// the fold would then reject the new intent.
     fn begin_retry(
         &mut self,
-        cx: KnownActions<'_>,
-        ticket: Ticket,
-        req: Asking,
+        cx: OwnerContext<'_>,
+        ticket: CallId,
+        req: AttemptRequest,
         out: &mut Vec<Effect>,
     ) {
         let key = req.key.clone();
@@ -461,7 +462,7 @@
         out.append(&mut effects);
     }
 
-    fn decide_logged(&self, entry: &ActionEntry, req: &Asking) -> Decision {
+    fn decide_logged(&self, entry: &ActionEntry, req: &AttemptRequest) -> Decision {
         if !entry.body_digest.matches(&req.body_digest) {
             return Decision::Mismatch;
         }
--- a/crates/sesamecart-actions/src/owner/durable.rs
+++ b/crates/sesamecart-actions/src/owner/durable.rs
@@ -4,38 +4,43 @@
 use sesamecart_vocabulary::{AttemptId, BodyDigest};
 
 use super::entry::{Entry, Phase};
-use super::{Effect, KnownActions, Owner, allows_new_attempt, decide_logged_entry};
-use crate::commit::{CommitItem, Durable, IntentVerdict, verdict_of};
+use super::{Effect, Owner, OwnerContext, allows_new_attempt, decide_logged_entry};
+use crate::commit::{CommitItem, CommitResult, IntentStatus, intent_status};
 use crate::decision::{Decision, RefusalReason};
 
 impl Owner {
     /// Records whether an item that was to be stored is durable.
-    pub fn committed(&mut self, cx: KnownActions<'_>, durable: &Durable, out: &mut Vec<Effect>) {
+    pub fn on_commit_result(
+        &mut self,
+        cx: OwnerContext<'_>,
+        durable: &CommitResult,
+        out: &mut Vec<Effect>,
+    ) {
         match durable {
-            Durable::Logged(CommitItem::Intent { intent, .. }) => {
-                let verdict = verdict_of(cx.actions, intent);
+            CommitResult::Logged(CommitItem::Intent { intent, .. }) => {
+                let verdict = intent_status(cx.actions, intent);
                 self.intent_committed(cx, intent, verdict, out);
             }
-            Durable::Mirrored(CommitItem::Intent { intent, .. }) => {
-                self.intent_committed(cx, intent, IntentVerdict::Stands, out);
+            CommitResult::Mirrored(CommitItem::Intent { intent, .. }) => {
+                self.intent_committed(cx, intent, IntentStatus::Accepted, out);
             }
-            Durable::Lost(CommitItem::Intent { intent, .. }) => {
+            CommitResult::Lost(CommitItem::Intent { intent, .. }) => {
                 self.intent_lost(cx, intent, out);
             }
-            Durable::Logged(CommitItem::Outcome { outcome, .. }) => {
+            CommitResult::Logged(CommitItem::Outcome { outcome, .. }) => {
                 self.outcome_logged(cx, outcome, out);
             }
-            Durable::Mirrored(CommitItem::Outcome { .. })
-            | Durable::Lost(CommitItem::Outcome { .. }) => {}
+            CommitResult::Mirrored(CommitItem::Outcome { .. })
+            | CommitResult::Lost(CommitItem::Outcome { .. }) => {}
         }
     }
 
     /// Grants the attempt if its intent was accepted, and otherwise decides by the log's state of the key.
     pub(super) fn intent_committed(
         &mut self,
-        cx: KnownActions<'_>,
+        cx: OwnerContext<'_>,
         intent: &ActionIntent,
-        verdict: IntentVerdict,
+        verdict: IntentStatus,
         out: &mut Vec<Effect>,
     ) {
         let key = intent.action_key();
@@ -48,7 +53,7 @@
         if entry.attempt != intent.attempt {
             return;
         }
-        if verdict == IntentVerdict::Stands {
+        if verdict == IntentStatus::Accepted {
             entry.phase = Phase::Granted { until };
             let epoch = self.epoch;
             out.push(Effect::Reply(ticket, Decision::Send { epoch }));
@@ -73,7 +78,7 @@
     /// sent, so the outcome "not run" is correct, and it allows the caller's next attempt.
     pub(super) fn intent_lost(
         &mut self,
-        cx: KnownActions<'_>,
+        cx: OwnerContext<'_>,
         intent: &ActionIntent,
         out: &mut Vec<Effect>,
     ) {
@@ -102,7 +107,7 @@
     /// owner is replaced during an outage. The node that reported the outcome must then report it again.
     pub(super) fn outcome_logged(
         &mut self,
-        cx: KnownActions<'_>,
+        cx: OwnerContext<'_>,
         outcome: &ActionOutcome,
         out: &mut Vec<Effect>,
     ) {
@@ -122,14 +127,14 @@
             entry.mark_logged();
         }
         for ticket in entry.recorders.drain(..) {
-            out.push(Effect::Recorded(ticket, is_accepted || is_redundant));
+            out.push(Effect::AckOutcome(ticket, is_accepted || is_redundant));
         }
     }
 
     /// Returns the key's entry, and creates it from the log's state if there is none.
     pub(super) fn entry_for_outcome(
         &mut self,
-        cx: KnownActions<'_>,
+        cx: OwnerContext<'_>,
         key: &ActionKey,
         attempt: &AttemptId,
     ) -> &mut Entry {
--- a/crates/sesamecart-actions/src/owner/entry.rs
+++ b/crates/sesamecart-actions/src/owner/entry.rs
@@ -3,7 +3,7 @@
 use sesamecart_fold::ActionEnd;
 use sesamecart_vocabulary::{AttemptId, BodyDigest, Timestamp};
 
-use crate::decision::{Asking, Ticket};
+use crate::decision::{AttemptRequest, CallId};
 
 /// The phase of a key's current attempt.
 #[derive(Debug)]
@@ -11,7 +11,7 @@
     /// The intent is being stored durably.
     Committing {
         /// The call that is waiting for the decision.
-        ticket: Ticket,
+        ticket: CallId,
         /// The deadline for reporting the outcome, if the attempt is granted.
         until: Timestamp,
     },
@@ -32,8 +32,8 @@
 /// A call that is waiting for the outcome of another attempt for the same key.
 #[derive(Debug)]
 pub(super) struct Waiter {
-    pub(super) ticket: Ticket,
-    pub(super) req: Asking,
+    pub(super) ticket: CallId,
+    pub(super) req: AttemptRequest,
 }
 
 /// The state of one key.
@@ -44,7 +44,7 @@
     pub(super) phase: Phase,
     pub(super) waiters: Vec<Waiter>,
     /// The calls that reported the outcome and are waiting for it to become durable.
-    pub(super) recorders: Vec<Ticket>,
+    pub(super) recorders: Vec<CallId>,
     /// When the entry was created or the outcome was last recorded.
     pub(super) updated_at: Timestamp,
 }
--- a/crates/sesamecart-actions/tests/simulation/mod.rs
+++ b/crates/sesamecart-actions/tests/simulation/mod.rs
@@ -3,8 +3,9 @@
 use fastrand::Rng;
 use indexmap::IndexMap;
 use sesamecart_actions::{
-    Answer, Asking, CommitConfig, CommitStep, Decision, Effect, Gather, GroupCommit, KnownActions,
-    LogBatch, MirrorBatch, Mirrors, MirrorsConfig, Owner, OwnerConfig, Ticket,
+    Answer, AttemptRequest, CallId, CommitConfig, CommitStep, Decision, Effect, GroupCommit,
+    IntentRecovery, LogBatch, MirrorBatch, MirroredIntents, MirroredIntentsConfig, Owner,
+    OwnerConfig, OwnerContext,
 };
 use sesamecart_fold::{ActionEnd, ActionKey, EncodedBody, Fold, Record};
 use sesamecart_vocabulary::{
@@ -62,8 +63,8 @@
     fold: Fold,
     commit: GroupCommit,
     owner: Option<Owner>,
-    gather: Option<Gather>,
-    mirrors: Mirrors,
+    gather: Option<IntentRecovery>,
+    mirrors: MirroredIntents,
     /// Whether a claim with new voters was sent whose result hasn't been read yet.
     has_pending_claim: bool,
 }
@@ -97,7 +98,7 @@
     /// Records of appends whose reply was lost and which may still reach the log.
     late_appends: Vec<Vec<u8>>,
     attempts: Vec<Attempt>,
-    tickets: IndexMap<Ticket, usize>,
+    tickets: IndexMap<CallId, usize>,
     next_ticket: u64,
     fault: Option<String>,
     pub coverage: Coverage,
@@ -120,7 +121,7 @@
 }
 
 fn node(index: usize, incarnation: u64, has_read_tail: bool) -> Node {
-    let mut mirrors = Mirrors::new(MirrorsConfig::default());
+    let mut mirrors = MirroredIntents::new(MirroredIntentsConfig::default());
     if has_read_tail {
         mirrors.settle(Offset(0));
     }
@@ -256,18 +257,18 @@
 
     fn begin(&mut self, index: usize, one: usize) {
         let ticket = self.ticket(one);
-        let req = Asking {
+        let req = AttemptRequest {
             key: self.attempts[one].key.clone(),
             body_digest: BodyDigest::of(b"body"),
             attempt: self.attempts[one].id.clone(),
-            until: self.now + Duration::from_secs(1),
+            deadline: self.now + Duration::from_secs(1),
         };
         self.with_owner(index, |owner, cx, out| owner.begin(cx, ticket, req, out));
     }
 
-    fn ticket(&mut self, one: usize) -> Ticket {
+    fn ticket(&mut self, one: usize) -> CallId {
         self.next_ticket += 1;
-        let ticket = Ticket(self.next_ticket);
+        let ticket = CallId(self.next_ticket);
         self.tickets.insert(ticket, one);
         ticket
     }
@@ -275,14 +276,14 @@
     fn with_owner(
         &mut self,
         index: usize,
-        call: impl FnOnce(&mut Owner, KnownActions<'_>, &mut Vec<Effect>),
+        call: impl FnOnce(&mut Owner, OwnerContext<'_>, &mut Vec<Effect>),
     ) {
         let now = self.now;
         let node = &mut self.nodes[index];
         let Some(owner) = &mut node.owner else {
             return;
         };
-        let cx = KnownActions {
+        let cx = OwnerContext {
             now,
             wall_ms: now.0 / 1_000,
             actions: &node.fold.state().actions,
@@ -298,12 +299,12 @@
             match effect {
                 Effect::Commit(item) => self.nodes[index].commit.push(item),
                 Effect::Reply(ticket, decision) => self.reply(ticket, decision),
-                Effect::Recorded(..) => {}
+                Effect::AckOutcome(..) => {}
             }
         }
     }
 
-    fn reply(&mut self, ticket: Ticket, decision: Decision) {
+    fn reply(&mut self, ticket: CallId, decision: Decision) {
         let one = self.tickets[&ticket];
         // Some replies are lost.
         if self.attempts[one].progress != Progress::Pending || self.rng.u32(..10) == 0 {
@@ -372,14 +373,18 @@
             self.read_to_end(index);
         }
         let now = self.now;
-        let durable = self.nodes[index].commit.logged(now, batch.id, is_appended);
+        let durable = self.nodes[index]
+            .commit
+            .finish_append(now, batch.id, is_appended);
         for item in durable {
             let item = if self.mutant == Mutant::NoReadBack {
                 assume_accepted(item)
             } else {
                 item
             };
-            self.with_owner(index, |owner, cx, out| owner.committed(cx, &item, out));
+            self.with_owner(index, |owner, cx, out| {
+                owner.on_commit_result(cx, &item, out)
+            });
         }
         self.depose_if_replaced(index);
     }
@@ -407,7 +412,7 @@
             }
             let mirrors = &mut self.nodes[voter].mirrors;
             stored +=
-                usize::from(mirrors.keep(batch.shard, batch.epoch, current_epoch, &batch.intents));
+                usize::from(mirrors.store(batch.shard, batch.epoch, current_epoch, &batch.intents));
         }
         let needed = if self.mutant == Mutant::OneVoter {
             1
@@ -416,9 +421,13 @@
         };
         let is_mirrored = stored >= needed;
         self.coverage.mirrored += u32::from(is_mirrored);
-        let durable = self.nodes[index].commit.mirrored(batch.id, is_mirrored);
+        let durable = self.nodes[index]
+            .commit
+            .finish_mirror(batch.id, is_mirrored);
         for item in durable {
-            self.with_owner(index, |owner, cx, out| owner.committed(cx, &item, out));
+            self.with_owner(index, |owner, cx, out| {
+                owner.on_commit_result(cx, &item, out)
+            });
         }
     }
 
@@ -460,12 +469,12 @@
             && is_own_lease
             && epoch > owner.epoch()
         {
-            owner.renew(epoch);
+            owner.set_epoch(epoch);
             node.has_pending_claim = false;
         }
         if let Some(owner) = node.owner.take_if(|owner| Some(owner.epoch()) != epoch) {
             let mut out = Vec::new();
-            owner.depose(&mut out);
+            owner.step_down(&mut out);
             node.gather = None;
             self.carry_out(index, out);
         }
@@ -496,8 +505,8 @@
         node.owner = Some(Owner::new(SHARD, epoch, OwnerConfig::default()));
         node.has_pending_claim = false;
         let gather = last.map_or_else(
-            || Gather::new(Epoch(0), []),
-            |lease| Gather::new(lease.epoch, lease.voters),
+            || IntentRecovery::new(Epoch(0), []),
+            |lease| IntentRecovery::new(lease.epoch, lease.voters),
         );
         node.gather = Some(gather);
         if self.mutant == Mutant::NoIntentRecovery {
@@ -521,7 +530,7 @@
             return;
         };
         let has_mirrored = node.commit.is_mirrored(SHARD);
-        if owner.is_gathering() || has_mirrored && self.mutant != Mutant::RenewsWithMirroredIntents
+        if owner.is_recovering() || has_mirrored && self.mutant != Mutant::RenewsWithMirroredIntents
         {
             return;
         }
@@ -549,19 +558,22 @@
         let current_epoch = self.nodes[voter].fold.state().epoch(SHARD);
         let Some(gathered) = self.nodes[voter]
             .mirrors
-            .gather(SHARD, epoch, current_epoch)
+            .reply_to_claim(SHARD, epoch, current_epoch)
         else {
             return;
         };
         let voter = self.nodes[voter].id.clone();
         if let Some(gather) = &mut self.nodes[index].gather {
-            gather.hear(&voter, gathered);
+            gather.record_reply(&voter, gathered);
         }
         self.adopt_if_complete(index);
     }
 
     fn adopt_if_complete(&mut self, index: usize) {
-        let intents = self.nodes[index].gather.as_ref().and_then(Gather::complete);
+        let intents = self.nodes[index]
+            .gather
+            .as_ref()
+            .and_then(IntentRecovery::recovered_intents);
         if let Some(intents) = intents {
             self.adopt(index, intents);
         }
@@ -570,7 +582,9 @@
     fn adopt(&mut self, index: usize, intents: Vec<sesamecart_fold::ActionIntent>) {
         self.coverage.recovered += u32::try_from(intents.len()).unwrap();
         self.nodes[index].gather = None;
-        self.with_owner(index, |owner, cx, out| owner.adopt(cx, intents, true, out));
+        self.with_owner(index, |owner, cx, out| {
+            owner.complete_takeover(cx, intents, true, out)
+        });
     }
 
     /// Sends a granted attempt; its node may crash before or after sending.
@@ -614,7 +628,7 @@
         let (key, attempt) = (ended.key.clone(), ended.id.clone());
         let end = ended.end.clone().unwrap();
         self.with_owner(index, |owner, cx, out| {
-            owner.finish(cx, ticket, &key, &attempt, end, out);
+            owner.record_outcome(cx, ticket, &key, &attempt, end, out);
         });
     }
 
@@ -652,9 +666,11 @@
 }
 
 /// Treats an acknowledged append as an accepted intent.
-fn assume_accepted(durable: sesamecart_actions::Durable) -> sesamecart_actions::Durable {
+fn assume_accepted(durable: sesamecart_actions::CommitResult) -> sesamecart_actions::CommitResult {
     match durable {
-        sesamecart_actions::Durable::Logged(item) => sesamecart_actions::Durable::Mirrored(item),
+        sesamecart_actions::CommitResult::Logged(item) => {
+            sesamecart_actions::CommitResult::Mirrored(item)
+        }
         other => other,
     }
 }
--- a/crates/sesamecart-edges/src/body.rs
+++ b/crates/sesamecart-edges/src/body.rs
@@ -7,7 +7,7 @@
 use http_body_util::combinators::UnsyncBoxBody;
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::body::Body;
-use sesamecart_runtime::within;
+use sesamecart_runtime::with_timeout;
 use sesamecart_vocabulary::Bytes as ByteSize;
 
 /// The boxed error of a body or a client call.
@@ -52,17 +52,13 @@
 /// # Errors
 ///
 /// Returns an error if the body exceeds `max` bytes, takes longer than `timeout` or ends early.
-pub async fn read_whole<B>(
-    body: B,
-    max: ByteSize,
-    timeout: Duration,
-) -> Result<Bytes, ReadBodyError>
+pub async fn read_body<B>(body: B, max: ByteSize, timeout: Duration) -> Result<Bytes, ReadBodyError>
 where
     B: Body,
     B::Error: Into<BoxError>,
 {
     let max_len = usize::try_from(max.0).unwrap_or(usize::MAX);
-    match within(timeout, Limited::new(body, max_len).collect()).await {
+    match with_timeout(timeout, Limited::new(body, max_len).collect()).await {
         Ok(Ok(collected)) => Ok(collected.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => Err(ReadBodyError::TooLarge(max)),
         Ok(Err(error)) => Err(ReadBodyError::Broken(error)),
--- a/crates/sesamecart-edges/src/client.rs
+++ b/crates/sesamecart-edges/src/client.rs
@@ -12,11 +12,11 @@
 use hyper::body::Incoming;
 use hyper::client::conn::http1::{Builder, SendRequest};
 use indexmap::IndexMap;
-use sesamecart_runtime::{Tasks, connect, within};
+use sesamecart_runtime::{Tasks, connect, with_timeout};
 use sesamecart_vocabulary::Bytes as ByteSize;
 use smol_hyper::rt::FuturesIo;
 
-use crate::body::{BoxError, read_whole};
+use crate::body::{BoxError, read_body};
 
 /// The maximum number of idle connections that are kept for one peer.
 const MAX_IDLE_PER_PEER: usize = 64;
@@ -32,15 +32,15 @@
 
 /// Whether any part of a request may have reached the peer.
 ///
-/// A response may say that a request was not run only after [`Sent::Nothing`].
+/// A response may say that a request was not run only after [`SendStatus::Nothing`].
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
-pub enum Sent {
+pub enum SendStatus {
     /// No byte of the request was written to a socket.
     #[display("nothing was sent")]
     Nothing,
     /// The peer may have read the request.
     #[display("it may have been read")]
-    Maybe,
+    PossiblySent,
 }
 
 /// The step of an exchange at which it failed.
@@ -63,7 +63,7 @@
     /// The peer.
     pub peer: SocketAddr,
     /// Whether any part of the request may have reached the peer.
-    pub sent: Sent,
+    pub sent: SendStatus,
     #[error(not(source))]
     source: BoxError,
 }
@@ -106,32 +106,32 @@
     /// The response.
     pub response: Response<Incoming>,
     /// The connection, which can be returned to the pool once the body has been read to its end.
-    pub lease: ConnectionLease,
+    pub lease: PooledConnection,
 }
 
 /// Exclusive use of a connection while a response body is read.
 ///
-/// Dropping it without [`ConnectionLease::give_back`] closes the connection, which makes an engine cancel
+/// Dropping it without [`PooledConnection::return_to_pool`] closes the connection, which makes an engine cancel
 /// the request.
 #[derive(Debug)]
-pub struct ConnectionLease {
+pub struct PooledConnection {
     #[debug(skip)]
     sender: Sender,
     peer: SocketAddr,
     idle: Pool,
 }
 
-impl ConnectionLease {
+impl PooledConnection {
     /// Returns the connection to the pool. Call it only after the body was read to its end without an error.
-    pub fn give_back(self) {
-        self.give_back_up_to(MAX_IDLE_PER_PEER);
+    pub fn return_to_pool(self) {
+        self.return_to_pool_up_to(MAX_IDLE_PER_PEER);
     }
 
     /// Returns the connection to the pool unless the pool already has `max_idle` connections to this peer.
     ///
     /// A peer that limits the total number of connections of all its clients resets those beyond the limit,
     /// with the requests on them, so a client must not keep an unlimited number of idle connections.
-    pub fn give_back_up_to(self, max_idle: usize) {
+    pub fn return_to_pool_up_to(self, max_idle: usize) {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let pool = idle.entry(self.peer).or_default();
         if pool.len() < max_idle.min(MAX_IDLE_PER_PEER) {
@@ -204,8 +204,8 @@
             .body(Full::new(Bytes::new()))?;
         let exchange = self.send(peer, req, Reuse::Allowed, timeout).await?;
         let (head, body) = exchange.response.into_parts();
-        let body = read_whole(body, max, timeout).await?;
-        exchange.lease.give_back();
+        let body = read_body(body, max, timeout).await?;
+        exchange.lease.return_to_pool();
         Ok(Response::from_parts(head, body))
     }
 
@@ -227,7 +227,7 @@
         let error = |source: BoxError| ClientError {
             step: Step::Connect,
             peer,
-            sent: Sent::Nothing,
+            sent: SendStatus::Nothing,
             source,
         };
         let remaining = deadline.saturating_duration_since(Instant::now());
@@ -261,10 +261,10 @@
             source,
         };
         let remaining = deadline.saturating_duration_since(Instant::now());
-        match within(remaining, sender.ready()).await {
+        match with_timeout(remaining, sender.ready()).await {
             Ok(Ok(())) => {}
             Ok(Err(cause)) => {
-                let error = error(Sent::Nothing, cause.into());
+                let error = error(SendStatus::Nothing, cause.into());
                 return Err(ExchangeFailure {
                     unsent: Some(Box::new(req)),
                     error,
@@ -273,14 +273,14 @@
             Err(cause) => {
                 return Err(ExchangeFailure {
                     unsent: None,
-                    error: error(Sent::Nothing, cause.into()),
+                    error: error(SendStatus::Nothing, cause.into()),
                 });
             }
         }
         let remaining = deadline.saturating_duration_since(Instant::now());
-        match within(remaining, sender.try_send_request(req)).await {
+        match with_timeout(remaining, sender.try_send_request(req)).await {
             Ok(Ok(response)) => {
-                let lease = ConnectionLease {
+                let lease = PooledConnection {
                     sender,
                     peer,
                     idle: Arc::clone(&self.idle),
@@ -291,9 +291,9 @@
                 // hyper returns the request only if no part of it was written.
                 let unsent = failed.take_message().map(Box::new);
                 let sent = if unsent.is_some() {
-                    Sent::Nothing
+                    SendStatus::Nothing
                 } else {
-                    Sent::Maybe
+                    SendStatus::PossiblySent
                 };
                 Err(ExchangeFailure {
                     unsent,
@@ -302,7 +302,7 @@
             }
             Err(cause) => Err(ExchangeFailure {
                 unsent: None,
-                error: error(Sent::Maybe, cause.into()),
+                error: error(SendStatus::PossiblySent, cause.into()),
             }),
         }
     }
--- a/crates/sesamecart-edges/src/lib.rs
+++ b/crates/sesamecart-edges/src/lib.rs
@@ -12,8 +12,8 @@
 mod vm_list;
 mod weight_store;
 
-pub use body::{BoxError, CallerBody, ReadBodyError, empty, read_whole, whole};
-pub use client::{ClientError, ConnectionLease, Exchange, HttpClient, Reuse, Sent, Step};
+pub use body::{BoxError, CallerBody, ReadBodyError, empty, read_body, whole};
+pub use client::{ClientError, Exchange, HttpClient, PooledConnection, Reuse, SendStatus, Step};
 pub use header::{
     ACTION, ATTEMPT, CLASS, DEADLINE_MS, EPOCH, GENERATION, IDEMPOTENCY_KEY, NOT_RUN, OUTCOME,
     PRIORITY, REPLAYED, REQUEST, RESUME_AT,
--- a/crates/sesamecart-edges/src/log_service.rs
+++ b/crates/sesamecart-edges/src/log_service.rs
@@ -13,8 +13,8 @@
 use serde::{Deserialize, Serialize};
 use sesamecart_vocabulary::{Bytes as ByteSize, Offset};
 
-use crate::body::{BoxError, read_whole};
-use crate::client::{HttpClient, Reuse, Sent};
+use crate::body::{BoxError, read_body};
+use crate::client::{HttpClient, Reuse, SendStatus};
 
 /// The maximum size of a response of the log.
 const MAX_RESPONSE_BYTES: ByteSize = ByteSize(64 * 1024 * 1024);
@@ -56,7 +56,7 @@
     },
     /// No part of the request reached the log.
     #[display("log {step} at {peer}: not reached: {reason}")]
-    NotReached {
+    NotSent {
         /// The operation: `append` or `read`.
         step: &'static str,
         /// The address of the log service.
@@ -67,7 +67,7 @@
     },
     /// No usable response arrived; an append may have taken effect.
     #[display("log {step} at {peer}: no answer: {reason}")]
-    NoAnswer {
+    NoResponse {
         /// The operation: `append` or `read`.
         step: &'static str,
         /// The address of the log service.
@@ -82,7 +82,7 @@
 pub trait Log: Send + Sync + std::fmt::Debug {
     /// Appends a record and returns its offset once it is durable.
     ///
-    /// After [`LogError::NoAnswer`] the record may be in the log, so read the log before appending it again.
+    /// After [`LogError::NoResponse`] the record may be in the log, so read the log before appending it again.
     fn append(&self, data: Bytes) -> Boxed<Result<Offset, LogError>>;
 
     /// Reads up to `limit` records starting at `from`, waiting up to `wait` for the first one.
@@ -136,13 +136,13 @@
         timeout: Duration,
     ) -> Result<Bytes, LogError> {
         let peer = self.peer;
-        let no_answer = |reason: BoxError| LogError::NoAnswer { step, peer, reason };
+        let no_answer = |reason: BoxError| LogError::NoResponse { step, peer, reason };
         let req = Request::builder()
             .method(method)
             .uri(path)
             .header(http::header::HOST, peer.to_string())
             .body(Full::new(data))
-            .map_err(|error| LogError::NotReached {
+            .map_err(|error| LogError::NotSent {
                 step,
                 peer,
                 reason: error.into(),
@@ -152,18 +152,18 @@
             .send(peer, req, Reuse::Allowed, timeout)
             .await
             .map_err(|error| match error.sent {
-                Sent::Nothing => LogError::NotReached {
+                SendStatus::Nothing => LogError::NotSent {
                     step,
                     peer,
                     reason: error.into(),
                 },
-                Sent::Maybe => no_answer(error.into()),
+                SendStatus::PossiblySent => no_answer(error.into()),
             })?;
         let status = exchange.response.status();
-        let body = read_whole(exchange.response.into_body(), MAX_RESPONSE_BYTES, timeout)
+        let body = read_body(exchange.response.into_body(), MAX_RESPONSE_BYTES, timeout)
             .await
             .map_err(|error| no_answer(error.into()))?;
-        exchange.lease.give_back();
+        exchange.lease.return_to_pool();
         if status.is_success() {
             return Ok(body);
         }
@@ -204,7 +204,7 @@
             .map(|record| {
                 let data = STANDARD
                     .decode(record.data)
-                    .map_err(|error| LogError::NoAnswer {
+                    .map_err(|error| LogError::NoResponse {
                         step: "read",
                         peer: self.peer,
                         reason: error.into(),
@@ -228,7 +228,7 @@
         step: &'static str,
         body: &'a [u8],
     ) -> Result<T, LogError> {
-        serde_json::from_slice(body).map_err(|error| LogError::NoAnswer {
+        serde_json::from_slice(body).map_err(|error| LogError::NoResponse {
             step,
             peer: self.peer,
             reason: error.into(),
--- a/crates/sesamecart-edges/src/server.rs
+++ b/crates/sesamecart-edges/src/server.rs
@@ -13,7 +13,7 @@
 use hyper::body::Incoming;
 use hyper::server::conn::http1::Builder;
 use hyper::service::service_fn;
-use sesamecart_runtime::{Accepted, Signal, Tasks, accept, sleep, within};
+use sesamecart_runtime::{AcceptedConnection, Signal, Tasks, accept, sleep, with_timeout};
 use smol_hyper::rt::{FuturesIo, SmolTimer};
 
 use crate::body::CallerBody;
@@ -25,7 +25,7 @@
     /// The maximum number of concurrent connections.
     pub max_connections: usize,
     /// The timeout for receiving a request head, counted from the end of the previous request.
-    pub head_limit: Duration,
+    pub head_timeout: Duration,
     /// The maximum size of a request head.
     pub max_head_bytes: usize,
 }
@@ -34,7 +34,7 @@
     fn default() -> Self {
         Self {
             max_connections: 8_192,
-            head_limit: Duration::from_secs(30),
+            head_timeout: Duration::from_secs(30),
             max_head_bytes: 64 * 1024,
         }
     }
@@ -121,7 +121,7 @@
 
 /// Serves a connection, after a TLS handshake if `tls` is set.
 async fn serve_connection<H, F>(
-    accepted: Accepted,
+    accepted: AcceptedConnection,
     tls: Option<TlsServer>,
     limits: ServerLimits,
     shutdown: Signal,
@@ -134,7 +134,7 @@
     let Some(tls) = tls else {
         return serve_http(accepted.stream, peer, limits, shutdown, handle).await;
     };
-    match within(HANDSHAKE_TIMEOUT, tls.acceptor().accept(accepted.stream)).await {
+    match with_timeout(HANDSHAKE_TIMEOUT, tls.acceptor().accept(accepted.stream)).await {
         Ok(Ok(stream)) => serve_http(stream, peer, limits, shutdown, handle).await,
         Ok(Err(error)) => log::debug!("server: TLS handshake with {peer} failed: {error}."),
         Err(_) => log::debug!("server: TLS handshake with {peer} timed out."),
@@ -158,7 +158,7 @@
     });
     let connection = Builder::new()
         .timer(SmolTimer::new())
-        .header_read_timeout(limits.head_limit)
+        .header_read_timeout(limits.head_timeout)
         .max_buf_size(limits.max_head_bytes)
         .serve_connection(FuturesIo::new(stream), service);
     let mut connection = pin!(connection);
--- a/crates/sesamecart-edges/src/weight_store.rs
+++ b/crates/sesamecart-edges/src/weight_store.rs
@@ -29,7 +29,7 @@
 pub enum WeightStoreError {
     /// The store's rate limit is exhausted.
     #[display("weight store at {peer}: out of rate, again after {} ms", retry_after.as_millis())]
-    OutOfRate {
+    RateLimited {
         /// The address of the store.
         peer: SocketAddr,
         /// How long to wait before the next request.
@@ -91,7 +91,7 @@
         let (head, body) = response.into_parts();
         if head.status == StatusCode::TOO_MANY_REQUESTS {
             let retry_after = parse_retry_after(&head.headers);
-            return Err(WeightStoreError::OutOfRate { peer, retry_after });
+            return Err(WeightStoreError::RateLimited { peer, retry_after });
         }
         if !head.status.is_success() {
             return Err(failed(format!("answered {}", head.status).into()));
--- a/crates/sesamecart-entry/src/feed/server.rs
+++ b/crates/sesamecart-entry/src/feed/server.rs
@@ -12,7 +12,7 @@
 };
 use sesamecart_links::{Request, Response, Status, async_trait};
 use sesamecart_platform::Store;
-use sesamecart_runtime::{ByteCount, Tasks, sleep};
+use sesamecart_runtime::{ByteCounters, Tasks, sleep};
 
 use crate::clock;
 use crate::feed::has_updates;
@@ -45,7 +45,7 @@
         store,
         group_prober,
     };
-    let served = sesamecart_links::serve_feed(listener, handler, tasks, ByteCount::default());
+    let served = sesamecart_links::serve_feed(listener, handler, tasks, ByteCounters::default());
     if let Err(error) = served.await {
         log::error!("feed: cannot serve followers: {error}.");
     }
--- a/crates/sesamecart-entry/src/follower/peer.rs
+++ b/crates/sesamecart-entry/src/follower/peer.rs
@@ -9,7 +9,7 @@
 use sesamecart_links::Code;
 use sesamecart_links::feed::{FollowReply, FollowRequest, TopicPart};
 use sesamecart_platform::Record;
-use sesamecart_runtime::{sleep, within};
+use sesamecart_runtime::{sleep, with_timeout};
 use sesamecart_vocabulary::Timestamp;
 
 use super::RETRY_DELAY;
@@ -98,7 +98,7 @@
         let mut phase = FollowPhase::Probe;
         loop {
             let sent = clock::now();
-            let mut feed = self.links.feed_of(address);
+            let mut feed = self.links.feed_client(address);
             let (request, reply_timeout) = match phase {
                 FollowPhase::Probe => (Position::probe_request(), REPLY_GRACE),
                 FollowPhase::CatchUp => {
@@ -109,7 +109,7 @@
                     POLL_TIMEOUT + REPLY_GRACE,
                 ),
             };
-            let reply = match within(reply_timeout, feed.follow(request)).await {
+            let reply = match with_timeout(reply_timeout, feed.follow(request)).await {
                 Ok(Ok(reply)) => reply.into_inner(),
                 Ok(Err(status)) if status.code() == Code::FailedPrecondition => {
                     return SwitchReason::Unready;
--- a/crates/sesamecart-entry/src/follower/source_follower.rs
+++ b/crates/sesamecart-entry/src/follower/source_follower.rs
@@ -10,7 +10,7 @@
 use sesamecart_fleet::{Role, Source, SourcePlan, SourceRotation, plan_sources};
 use sesamecart_links::Links;
 use sesamecart_platform::{Store, Topic};
-use sesamecart_runtime::{sleep, within};
+use sesamecart_runtime::{sleep, with_timeout};
 use sesamecart_vocabulary::Timestamp;
 
 use super::nodes::NodesTopic;
@@ -188,7 +188,7 @@
             let serves = match candidate {
                 Source::Store => {
                     let read = self.store.newest(Topic::Nodes, None);
-                    matches!(within(PROBE_TIMEOUT, read).await, Ok(Ok(_)))
+                    matches!(with_timeout(PROBE_TIMEOUT, read).await, Ok(Ok(_)))
                 }
                 Source::Node(address) => is_serving(&self.links, address).await,
             };
@@ -231,9 +231,9 @@
 
 /// Returns whether a node serves followers.
 async fn is_serving(links: &Links, address: SocketAddr) -> bool {
-    let mut feed = links.feed_of(address);
+    let mut feed = links.feed_client(address);
     matches!(
-        within(PROBE_TIMEOUT, feed.follow(Position::probe_request())).await,
+        with_timeout(PROBE_TIMEOUT, feed.follow(Position::probe_request())).await,
         Ok(Ok(_))
     )
 }
--- a/crates/sesamecart-entry/src/group_prober.rs
+++ b/crates/sesamecart-entry/src/group_prober.rs
@@ -15,7 +15,7 @@
 use sesamecart_fleet::{GroupKey, MemberProbe, Verdict};
 use sesamecart_links::Links;
 use sesamecart_links::feed::GroupLoss;
-use sesamecart_runtime::within;
+use sesamecart_runtime::with_timeout;
 use sesamecart_vocabulary::Timestamp;
 
 use crate::clock;
@@ -93,8 +93,8 @@
         let group = GroupLoss {
             group: key.to_string(),
         };
-        let mut feed = self.links.feed_of(address);
-        match within(REMOTE_PROBE_TIMEOUT, feed.examine_group(group)).await {
+        let mut feed = self.links.feed_client(address);
+        match with_timeout(REMOTE_PROBE_TIMEOUT, feed.examine_group(group)).await {
             Ok(Ok(reply)) => Some(reply.into_inner().is_sound),
             Ok(Err(status)) => {
                 log::debug!("watch: node at {address}: probe of {key} failed: {status}.");
--- a/crates/sesamecart-entry/src/loss_reports.rs
+++ b/crates/sesamecart-entry/src/loss_reports.rs
@@ -13,7 +13,7 @@
 use sesamecart_links::Links;
 use sesamecart_links::feed::GroupLoss;
 use sesamecart_platform::{Expected, Record, Store, Topic};
-use sesamecart_runtime::within;
+use sesamecart_runtime::with_timeout;
 
 use crate::clock;
 use crate::events::Event;
@@ -30,8 +30,8 @@
         let loss = GroupLoss {
             group: key.to_string(),
         };
-        let mut feed = links.feed_of(address);
-        match within(LOSS_REPORT_TIMEOUT, feed.report_loss(loss)).await {
+        let mut feed = links.feed_client(address);
+        match with_timeout(LOSS_REPORT_TIMEOUT, feed.report_loss(loss)).await {
             Ok(Ok(_)) => return,
             Ok(Err(status)) => log::debug!("losses: node at {address}: report failed: {status}."),
             Err(elapsed) => log::debug!("losses: node at {address}: report failed: {elapsed}."),
@@ -78,9 +78,9 @@
     let loss = GroupLoss {
         group: key.to_string(),
     };
-    let mut feed = links.feed_of(address);
+    let mut feed = links.feed_client(address);
     // A node that misses the announcement detects the loss by itself or in the registry, a little later.
-    match within(LOSS_REPORT_TIMEOUT, feed.announce_loss(loss)).await {
+    match with_timeout(LOSS_REPORT_TIMEOUT, feed.announce_loss(loss)).await {
         Ok(Ok(_)) => {}
         Ok(Err(status)) => log::debug!("losses: node at {address}: announce {key}: {status}."),
         Err(elapsed) => log::debug!("losses: node at {address}: announce {key}: {elapsed}."),
--- a/crates/sesamecart-entry/src/node.rs
+++ b/crates/sesamecart-entry/src/node.rs
@@ -14,7 +14,7 @@
 use sesamecart_edges::{CallerBody, Connections, HttpClient, ServerLimits, whole};
 use sesamecart_links::Links;
 use sesamecart_platform::Store;
-use sesamecart_runtime::{ByteCount, Signal, Trigger, Worker, listen, sleep};
+use sesamecart_runtime::{ByteCounters, Signal, Trigger, Worker, listen, sleep};
 use sesamecart_vocabulary::NodeId;
 
 use crate::controller::Controller;
@@ -173,7 +173,7 @@
         let grace = self.state.settings.bounds.shutdown_grace();
         let limit = grace.saturating_sub(EXIT_RESERVE);
         sleep(BALANCER_REMOVAL_TIME.min(limit / 2)).await;
-        self.leave.give();
+        self.leave.set();
         while started_at.elapsed() < limit && self.state.connections.open() > 0 {
             sleep(LEAVE_POLL_INTERVAL).await;
         }
@@ -252,7 +252,7 @@
     tasks.spawn(log_store_calls(Arc::clone(state)));
     let (change_tx, registry_changed) = async_channel::bounded(1);
     let (loss_tx, lost_groups) = async_channel::unbounded();
-    let links = Links::new(tasks.clone(), ByteCount::default());
+    let links = Links::new(tasks.clone(), ByteCounters::default());
     let source_follower =
         SourceFollower::new(Arc::clone(state), store.clone(), links.clone(), change_tx);
     tasks.spawn(source_follower.run());
--- a/crates/sesamecart-entry/src/peer_loads.rs
+++ b/crates/sesamecart-entry/src/peer_loads.rs
@@ -15,7 +15,7 @@
 use sesamecart_fleet::{Demand, LoadReport, MAX_WATCHED_PEERS, NodeLoad, PeerNode, peers_to_watch};
 use sesamecart_links::Links;
 use sesamecart_links::feed::{ModelDemand, WatchLoadsRequest};
-use sesamecart_runtime::{Tasks, sleep, within};
+use sesamecart_runtime::{Tasks, sleep, with_timeout};
 use sesamecart_vocabulary::{EndpointId, NodeId, Timestamp};
 
 use crate::clock;
@@ -156,14 +156,14 @@
     peer: &PeerNode,
     reachability: &mut PeerReachability,
 ) -> String {
-    let mut feed = links.feed_of(peer.links);
+    let mut feed = links.feed_client(peer.links);
     let mut changes = match feed.watch_loads(WatchLoadsRequest {}).await {
         Ok(response) => response.into_inner(),
         Err(status) => return status.to_string(),
     };
     let mut endpoints: Vec<EndpointId> = Vec::new();
     loop {
-        let next = match within(SILENCE_TIMEOUT, changes.message()).await {
+        let next = match with_timeout(SILENCE_TIMEOUT, changes.message()).await {
             Ok(Ok(Some(next))) => next,
             Ok(Ok(None)) => return "the stream ended".to_owned(),
             Ok(Err(status)) => return status.to_string(),
--- a/crates/sesamecart-entry/src/state.rs
+++ b/crates/sesamecart-entry/src/state.rs
@@ -320,7 +320,7 @@
         let _signal = self.group_loss_signal(key);
         if let Some(loss) = lock(&self.loss_signals).get_mut(key) {
             loss.lost_at = Some(now);
-            loss.trigger.give();
+            loss.trigger.set();
         }
     }
 
--- a/crates/sesamecart-entry/src/traffic.rs
+++ b/crates/sesamecart-entry/src/traffic.rs
@@ -87,7 +87,7 @@
     };
     ServerLimits {
         max_connections: MAX_CONNECTIONS,
-        head_limit: idle_timeout,
+        head_timeout: idle_timeout,
         max_head_bytes: MAX_HEAD_BYTES,
     }
 }
--- a/crates/sesamecart-entry/src/traffic/call.rs
+++ b/crates/sesamecart-entry/src/traffic/call.rs
@@ -7,7 +7,7 @@
 use http::request::Parts;
 use http::{HeaderMap, StatusCode};
 use hyper::body::Incoming;
-use sesamecart_edges::{ConnectionLease, HttpClient};
+use sesamecart_edges::{HttpClient, PooledConnection};
 use sesamecart_fleet::{Catalog, Customer, PathRoute, Unavailable};
 use sesamecart_platform::Asked;
 use sesamecart_vocabulary::{EndpointId, Timestamp};
@@ -55,7 +55,7 @@
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Incoming,
-    pub(crate) lease: ConnectionLease,
+    pub(crate) lease: PooledConnection,
     pub(crate) in_flight: InFlightRequest,
 }
 
--- a/crates/sesamecart-entry/src/traffic/handler.rs
+++ b/crates/sesamecart-entry/src/traffic/handler.rs
@@ -8,7 +8,7 @@
 use http::request::Parts;
 use http::{Request, Response};
 use hyper::body::{Body as _, Incoming};
-use sesamecart_edges::{CallerBody, HttpClient, ReadBodyError, read_whole, whole};
+use sesamecart_edges::{CallerBody, HttpClient, ReadBodyError, read_body, whole};
 use sesamecart_fleet::{Catalog, Customer, PathRoute, RouteMatch};
 use sesamecart_platform::{Asked, forwarded_headers};
 use sesamecart_vocabulary::{EndpointId, Timestamp};
@@ -85,7 +85,9 @@
         let refused = |refusal| Refused::new(id.clone(), refusal);
         let admitted = self.admit(&head, &metadata).map_err(refused)?;
         self.state.record_request();
-        let body = read_body(&admitted.catalog, body).await.map_err(refused)?;
+        let body = read_request_body(&admitted.catalog, body)
+            .await
+            .map_err(refused)?;
         let call = Arc::new(Call {
             state: Arc::clone(&self.state),
             client: self.client.clone(),
@@ -191,7 +193,7 @@
 }
 
 /// Reads the body of a request within the configured limits.
-async fn read_body(catalog: &Catalog, body: Incoming) -> Result<Bytes, Refusal> {
+async fn read_request_body(catalog: &Catalog, body: Incoming) -> Result<Bytes, Refusal> {
     let limits = &catalog.limits;
     if body.size_hint().lower() > limits.max_body_bytes.0 {
         return Err(Refusal::TooLarge(format!(
@@ -199,7 +201,7 @@
             limits.max_body_bytes
         )));
     }
-    read_whole(body, limits.max_body_bytes, limits.idle_time)
+    read_body(body, limits.max_body_bytes, limits.idle_time)
         .await
         .map_err(|error| match error {
             ReadBodyError::TooLarge(_) => Refusal::TooLarge(error.to_string()),
--- a/crates/sesamecart-entry/src/traffic/relay.rs
+++ b/crates/sesamecart-entry/src/traffic/relay.rs
@@ -13,7 +13,7 @@
 use futures_util::stream;
 use http_body_util::{BodyExt as _, StreamBody};
 use hyper::body::{Frame, Incoming};
-use sesamecart_edges::{BoxError, CallerBody, ConnectionLease};
+use sesamecart_edges::{BoxError, CallerBody, PooledConnection};
 use sesamecart_vocabulary::Timestamp;
 
 use crate::clock;
@@ -27,7 +27,7 @@
 #[derive(Debug)]
 struct EndpointStream {
     body: Incoming,
-    lease: ConnectionLease,
+    lease: PooledConnection,
     in_flight: InFlightRequest,
 }
 
--- a/crates/sesamecart-entry/src/traffic/response.rs
+++ b/crates/sesamecart-entry/src/traffic/response.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use http::{Response, StatusCode};
-use sesamecart_edges::{ConnectionLease, Exchange, read_whole};
+use sesamecart_edges::{Exchange, PooledConnection, read_body};
 use sesamecart_platform::{AnswerHead, NotRun};
 use sesamecart_vocabulary::{Bytes as ByteSize, EndpointId};
 
@@ -52,7 +52,7 @@
         if let Some(not_run) = response_head.not_run {
             in_flight.mark_ended();
             self.eject_rejecting(&in_flight.endpoint, not_run, &response_head);
-            if read_whole(body, MAX_BUFFERED_RESPONSE, MIN_RESPONSE_TIMEOUT)
+            if read_body(body, MAX_BUFFERED_RESPONSE, MIN_RESPONSE_TIMEOUT)
                 .await
                 .is_ok()
             {
@@ -133,7 +133,7 @@
             lease,
             mut in_flight,
         } = response;
-        match read_whole(body, MAX_BUFFERED_RESPONSE, self.time_left()).await {
+        match read_body(body, MAX_BUFFERED_RESPONSE, self.time_left()).await {
             Ok(body) => {
                 self.return_connection(lease);
                 if status.is_server_error() {
@@ -154,11 +154,11 @@
     }
 
     /// Returns a connection to the pool, within this node's share of the endpoint's connections.
-    pub(crate) fn return_connection(&self, lease: ConnectionLease) {
+    pub(crate) fn return_connection(&self, lease: PooledConnection) {
         let service = self.service().and_then(|id| self.catalog.services.get(id));
         let max_connections = service.map_or(0, |service| service.max_connections as usize);
         let nodes = self.state.nodes.load().len();
-        lease.give_back_up_to(max_connections / (nodes.max(1) * IDLE_CONNECTIONS_DIVISOR));
+        lease.return_to_pool_up_to(max_connections / (nodes.max(1) * IDLE_CONNECTIONS_DIVISOR));
     }
 }
 
--- a/crates/sesamecart-entry/src/traffic/timeout.rs
+++ b/crates/sesamecart-entry/src/traffic/timeout.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use futures_lite::future;
-use sesamecart_edges::{ClientError, Exchange, Reuse, Sent};
+use sesamecart_edges::{ClientError, Exchange, Reuse, SendStatus};
 use sesamecart_fleet::{Delivery, Endpoint};
 use sesamecart_platform::{Handover, forward};
 use sesamecart_runtime::sleep;
@@ -91,7 +91,7 @@
             WaitOutcome::Response(Ok(exchange)) => Ok(exchange),
             WaitOutcome::Response(Err(client_error)) => {
                 let error = AttemptError {
-                    may_have_run: client_error.sent == Sent::Maybe,
+                    may_have_run: client_error.sent == SendStatus::PossiblySent,
                     cause: client_error.to_string(),
                 };
                 // The endpoint isn't at fault if the caller set a short timeout.
--- a/crates/sesamecart-fold/src/action.rs
+++ b/crates/sesamecart-fold/src/action.rs
@@ -16,7 +16,7 @@
 /// Every retained action is part of each checkpoint, so a longer horizon makes checkpoints larger. With a
 /// shorter one, callers that retry after a long outage would be refused. An older key is refused and never
 /// run again.
-pub const ACTION_HORIZON_MS: u64 = 60 * 60 * 1_000;
+pub const ACTION_RETENTION_MS: u64 = 60 * 60 * 1_000;
 
 /// The unique key of an action.
 #[derive(Clone, Debug, Display, Eq, Hash, PartialEq, Serialize, Deserialize)]
@@ -146,7 +146,7 @@
     }
 }
 
-/// The keyed actions within [`ACTION_HORIZON_MS`].
+/// The keyed actions within [`ACTION_RETENTION_MS`].
 #[derive(Clone, Debug, Default, Eq, PartialEq, Serialize, Deserialize)]
 pub struct Actions {
     #[serde(with = "entries")]
@@ -235,7 +235,7 @@
     /// Removes the actions that are older than the horizon.
     pub(crate) fn expire(&mut self, now_ms: u64) {
         while let Some(oldest) = self.oldest_first.front()
-            && oldest.logged_at_ms.saturating_add(ACTION_HORIZON_MS) < now_ms
+            && oldest.logged_at_ms.saturating_add(ACTION_RETENTION_MS) < now_ms
         {
             let oldest = self
                 .oldest_first
--- a/crates/sesamecart-fold/src/checkpoint.rs
+++ b/crates/sesamecart-fold/src/checkpoint.rs
@@ -58,7 +58,7 @@
 
     /// Returns a checkpoint record for a peer, with the whole state including the keyed actions.
     #[must_use]
-    pub fn hand_over(&self) -> Record {
+    pub fn checkpoint_with_actions(&self) -> Record {
         Record::Checkpoint {
             state: Box::new(self.state().clone()),
         }
@@ -91,7 +91,8 @@
                 own: own.next_offset,
             });
         }
-        if state.next_offset == own.next_offset && own.knows_actions() && !state.knows_actions() {
+        if state.next_offset == own.next_offset && own.has_all_actions() && !state.has_all_actions()
+        {
             return Err(CheckpointError::FewerActions);
         }
         let previous = std::mem::take(self).into_state();
--- a/crates/sesamecart-fold/src/fold.rs
+++ b/crates/sesamecart-fold/src/fold.rs
@@ -7,7 +7,7 @@
 
 use sesamecart_vocabulary::{EndpointId, Epoch, Offset, ShardId};
 
-use crate::action::ACTION_HORIZON_MS;
+use crate::action::ACTION_RETENTION_MS;
 use crate::audit::{AuditEntry, AuditKind};
 use crate::checkpoint::CheckpointPosition;
 use crate::record::{DecodeError, Record};
@@ -59,7 +59,7 @@
     pub fn apply(&mut self, offset: Offset, logged_at_ms: u64, data: &[u8]) -> Applied {
         let expected = self.state.next_offset;
         if offset < expected {
-            return Applied::Before;
+            return Applied::AlreadyApplied;
         }
         if offset > expected {
             return Applied::Gap { expected };
@@ -83,7 +83,7 @@
         let complete_from_ms = self
             .state
             .actions_since_ms
-            .saturating_add(ACTION_HORIZON_MS);
+            .saturating_add(ACTION_RETENTION_MS);
         if complete_from_ms < now_ms {
             self.state.actions_since_ms = 0;
         }
--- a/crates/sesamecart-fold/src/fold/lease.rs
+++ b/crates/sesamecart-fold/src/fold/lease.rs
@@ -1,6 +1,6 @@
 //! Claims and releases of shard leases.
 
-use sesamecart_vocabulary::{Epoch, NodeId, SHARDS, ShardId};
+use sesamecart_vocabulary::{Epoch, NodeId, SHARD_COUNT, ShardId};
 
 use super::{Fold, Position};
 use crate::audit::AuditKind;
@@ -29,7 +29,7 @@
         entry.author = holder.to_string();
         entry.old = self.describe_lease(shard);
         entry.new = format!("{holder} at epoch {}", at.offset);
-        if shard.0 >= SHARDS {
+        if shard.0 >= SHARD_COUNT {
             return self.reject(entry, Rejection::NoSuchShard { shard });
         }
         let current = self.state.epoch(shard);
--- a/crates/sesamecart-fold/src/lib.rs
+++ b/crates/sesamecart-fold/src/lib.rs
@@ -20,8 +20,8 @@
 mod verdict;
 
 pub use action::{
-    ACTION_HORIZON_MS, ActionEnd, ActionEntry, ActionIntent, ActionKey, ActionOutcome, ActionPart,
-    Actions, Header,
+    ACTION_RETENTION_MS, ActionEnd, ActionEntry, ActionIntent, ActionKey, ActionOutcome,
+    ActionPart, Actions, Header,
 };
 pub use audit::{AuditEntry, AuditKind, AuditTail};
 pub use body::EncodedBody;
@@ -29,9 +29,11 @@
 pub use drain::{Drain, DrainTarget, ParseDrainTargetError};
 pub use fold::Fold;
 pub use lease::{Assignment, LeaseRecord};
-pub use provisional::{PROVISIONAL_LIMIT, ProvisionalDrain, ProvisionalDrains, ProvisionalError};
-pub use reader::{AppliedAt, LogReader, PageBounds, PageRead, RawRecord, Standing};
+pub use provisional::{
+    PROVISIONAL_DRAIN_TTL, ProvisionalDrain, ProvisionalDrains, ProvisionalError,
+};
+pub use reader::{AppliedRecord, LogReader, PageBounds, PageOutcome, RawRecord, ReaderStatus};
 pub use record::{DecodeError, Envelope, RECORD_VERSION, Record};
-pub use schedule::{CheckpointPace, CheckpointSchedule};
+pub use schedule::{CheckpointInterval, CheckpointSchedule};
 pub use state::State;
 pub use verdict::{Applied, PublishVerdict, Rejection};
--- a/crates/sesamecart-fold/src/provisional.rs
+++ b/crates/sesamecart-fold/src/provisional.rs
@@ -14,7 +14,7 @@
 ///
 /// It must be longer than the outage during which an operator drains a failure domain. It is limited so that
 /// a drain eventually ends on a node that is cut off from all others.
-pub const PROVISIONAL_LIMIT: Duration = Duration::from_secs(30 * 60);
+pub const PROVISIONAL_DRAIN_TTL: Duration = Duration::from_secs(30 * 60);
 
 /// The maximum number of provisional drains on a node, limited because heartbeats contain them.
 const MAX_PROVISIONAL_DRAINS: usize = 64;
@@ -92,7 +92,7 @@
             author,
             at_ms,
             record: record.to_vec(),
-            expires_at: now + remaining.min(PROVISIONAL_LIMIT),
+            expires_at: now + remaining.min(PROVISIONAL_DRAIN_TTL),
         };
         self.by_id.insert(publish_id, drain);
         Ok(true)
--- a/crates/sesamecart-fold/src/reader.rs
+++ b/crates/sesamecart-fold/src/reader.rs
@@ -33,18 +33,18 @@
 
 /// The effect of a page.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct PageRead {
+pub struct PageOutcome {
     /// Whether a checkpoint in the page replaced the state.
     pub adopted: bool,
     /// The effect of each record that was applied.
-    pub applied: Vec<AppliedAt>,
+    pub applied: Vec<AppliedRecord>,
     /// The status of the reader after the page.
-    pub standing: Standing,
+    pub status: ReaderStatus,
 }
 
 /// The effect of the record at one offset.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct AppliedAt {
+pub struct AppliedRecord {
     /// The offset of the record.
     pub offset: Offset,
     /// The effect of the record.
@@ -53,23 +53,23 @@
 
 /// The status of a reader in relation to the log.
 #[derive(Clone, Copy, Debug, Display, Eq, PartialEq)]
-pub enum Standing {
+pub enum ReaderStatus {
     /// The state includes every record of the log.
     #[display("at the tail")]
     AtTail,
     /// The log's end is before the state's next offset, so the log's response is outdated. If this persists,
     /// it must raise an alarm.
     #[display("ahead of the log's answer")]
-    Ahead,
+    LogOutdated,
     /// There are more records to read.
     #[display("behind the tail")]
     Behind,
     /// Retention has removed records that the state needs, and the reader searches for a checkpoint.
     #[display("looking for a checkpoint")]
-    Seeking,
+    SeekingCheckpoint,
     /// The log has no usable checkpoint, so only a peer's state can help. It must raise an alarm.
     #[display("without a checkpoint that helps")]
-    Stranded,
+    NoCheckpoint,
 }
 
 /// Reads pages of the log into a fold.
@@ -99,16 +99,16 @@
 
     /// Returns the offset of the next page to read.
     #[must_use]
-    pub fn wants(&self) -> Offset {
+    pub fn next_read_offset(&self) -> Offset {
         self.seek.unwrap_or(self.fold.state().next_offset)
     }
 
-    /// Applies a page, which must start at [`LogReader::wants`].
+    /// Applies a page, which must start at [`LogReader::next_read_offset`].
     pub fn take<'a>(
         &mut self,
         bounds: PageBounds,
         records: impl IntoIterator<Item = RawRecord<'a>>,
-    ) -> PageRead {
+    ) -> PageOutcome {
         let mut applied = Vec::new();
         let mut adopted = false;
         let is_missing = self.fold.state().next_offset < bounds.first;
@@ -125,17 +125,17 @@
             let outcome = self
                 .fold
                 .apply(record.offset, record.logged_at_ms, record.data);
-            if outcome != Applied::Before {
-                applied.push(AppliedAt {
+            if outcome != Applied::AlreadyApplied {
+                applied.push(AppliedRecord {
                     offset: record.offset,
                     applied: outcome,
                 });
             }
         }
-        PageRead {
+        PageOutcome {
             adopted,
             applied,
-            standing: self.standing(bounds),
+            status: self.standing(bounds),
         }
     }
 
@@ -143,17 +143,17 @@
     ///
     /// A peer retains only the newest records, so a gap doesn't mean that the log has lost records. It
     /// therefore starts no search for a checkpoint.
-    pub fn take_from_peer<'a>(
+    pub fn apply_peer_records<'a>(
         &mut self,
         records: impl IntoIterator<Item = RawRecord<'a>>,
-    ) -> Vec<AppliedAt> {
+    ) -> Vec<AppliedRecord> {
         let mut applied = Vec::new();
         for record in records {
             let outcome = self
                 .fold
                 .apply(record.offset, record.logged_at_ms, record.data);
-            if !matches!(outcome, Applied::Before | Applied::Gap { .. }) {
-                applied.push(AppliedAt {
+            if !matches!(outcome, Applied::AlreadyApplied | Applied::Gap { .. }) {
+                applied.push(AppliedRecord {
                     offset: record.offset,
                     applied: outcome,
                 });
@@ -193,16 +193,16 @@
         adopted
     }
 
-    fn standing(&self, bounds: PageBounds) -> Standing {
+    fn standing(&self, bounds: PageBounds) -> ReaderStatus {
         match self.seek {
-            Some(seek) if seek >= bounds.next => Standing::Stranded,
-            Some(_) => Standing::Seeking,
+            Some(seek) if seek >= bounds.next => ReaderStatus::NoCheckpoint,
+            Some(_) => ReaderStatus::SeekingCheckpoint,
             None => match self.fold.state().next_offset.cmp(&bounds.next) {
-                Ordering::Less => Standing::Behind,
-                Ordering::Equal => Standing::AtTail,
+                Ordering::Less => ReaderStatus::Behind,
+                Ordering::Equal => ReaderStatus::AtTail,
                 // The response of a lagging replica of the log must not be treated as the log's tail. A
                 // lease would be renewed by a read that can't include a newer claim.
-                Ordering::Greater => Standing::Ahead,
+                Ordering::Greater => ReaderStatus::LogOutdated,
             },
         }
     }
--- a/crates/sesamecart-fold/src/schedule.rs
+++ b/crates/sesamecart-fold/src/schedule.rs
@@ -8,7 +8,7 @@
 
 /// How often checkpoints are written.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct CheckpointPace {
+pub struct CheckpointInterval {
     /// The maximum time between two checkpoints, which must be well below the log's retention.
     pub every: Duration,
     /// The maximum number of records between two checkpoints.
@@ -22,7 +22,7 @@
 /// any node writes one after a longer time; a redundant checkpoint does no harm.
 #[derive(Clone, Copy, Debug)]
 pub struct CheckpointSchedule {
-    pace: CheckpointPace,
+    pace: CheckpointInterval,
     /// The additional delay of this node while it is not the holder.
     fallback_delay: Duration,
     observed: Option<ObservedCheckpoint>,
@@ -38,7 +38,7 @@
 impl CheckpointSchedule {
     /// Creates a schedule; `jitter`, from 0 to 1, prevents nodes from writing at the same time.
     #[must_use]
-    pub fn new(pace: CheckpointPace, jitter: f64) -> Self {
+    pub fn new(pace: CheckpointInterval, jitter: f64) -> Self {
         Self {
             pace,
             fallback_delay: pace.every.mul_f64(0.5 + 0.5 * jitter.clamp(0.0, 1.0)),
--- a/crates/sesamecart-fold/src/state.rs
+++ b/crates/sesamecart-fold/src/state.rs
@@ -98,7 +98,7 @@
     /// A node that started from a checkpoint lacks the actions before it. Until these have expired, the node
     /// must refuse unknown keys, because their actions may have run.
     #[must_use]
-    pub fn knows_actions(&self) -> bool {
+    pub fn has_all_actions(&self) -> bool {
         self.actions_since_ms == 0
     }
 
@@ -129,7 +129,7 @@
     ///
     /// The node may have admitted some of these actions itself, and would run them again if it lost them.
     pub(crate) fn with_actions_of(mut self, previous: Self) -> Self {
-        if !self.knows_actions() && self.actions.is_empty() {
+        if !self.has_all_actions() && self.actions.is_empty() {
             self.actions = previous.actions;
             self.actions.expire(self.logged_at_ms);
         }
--- a/crates/sesamecart-fold/src/tests/any_order.rs
+++ b/crates/sesamecart-fold/src/tests/any_order.rs
@@ -8,7 +8,7 @@
 use super::fixtures::{
     FoldDriver, MemoryLog, assign, claim, drain, intents, name, publish, shard_of, unassign,
 };
-use crate::{Applied, LogReader, Record, Standing};
+use crate::{Applied, LogReader, ReaderStatus, Record};
 
 #[derive(Clone, Debug, TypeGenerator)]
 enum Step {
@@ -150,13 +150,13 @@
             assert!(slow.fold().state().revision >= min_revision);
             min_revision = slow.fold().state().revision;
         }
-        while log.read_into(&mut slow).standing == Standing::Behind
-            || log.read_into(&mut slow).standing == Standing::Seeking
+        while log.read_into(&mut slow).status == ReaderStatus::Behind
+            || log.read_into(&mut slow).status == ReaderStatus::SeekingCheckpoint
         {}
-        assert_eq!(log.read_into(&mut slow).standing, Standing::AtTail);
+        assert_eq!(log.read_into(&mut slow).status, ReaderStatus::AtTail);
         let without_actions = driver.fold.state().without_actions();
         assert_eq!(slow.fold().state().without_actions(), without_actions);
-        if !slow.fold().state().knows_actions() {
+        if !slow.fold().state().has_all_actions() {
             slow.adopt(driver.fold.state().clone()).unwrap();
         }
         assert_eq!(slow.fold().state(), driver.fold.state());
--- a/crates/sesamecart-fold/src/tests/fixtures.rs
+++ b/crates/sesamecart-fold/src/tests/fixtures.rs
@@ -6,7 +6,7 @@
 };
 
 use crate::{
-    ActionEnd, ActionIntent, ActionOutcome, Applied, Fold, LogReader, PageBounds, PageRead,
+    ActionEnd, ActionIntent, ActionOutcome, Applied, Fold, LogReader, PageBounds, PageOutcome,
     RawRecord, Record,
 };
 
@@ -36,12 +36,14 @@
     }
 
     /// Reads one page of at most three records into `reader`.
-    pub(super) fn read_into(&self, reader: &mut LogReader) -> PageRead {
+    pub(super) fn read_into(&self, reader: &mut LogReader) -> PageOutcome {
         let bounds = PageBounds {
             first: Offset(self.first as u64),
             next: self.next(),
         };
-        let from = usize::try_from(reader.wants().0).unwrap().max(self.first);
+        let from = usize::try_from(reader.next_read_offset().0)
+            .unwrap()
+            .max(self.first);
         let retained = self.records.iter().enumerate().skip(from).take(3);
         let records = retained.map(|(index, data)| RawRecord {
             offset: Offset(index as u64),
--- a/crates/sesamecart-fold/src/tests/outage.rs
+++ b/crates/sesamecart-fold/src/tests/outage.rs
@@ -6,7 +6,8 @@
 
 use super::fixtures::{FoldDriver, claim, drain, name, publish};
 use crate::{
-    CheckpointPace, CheckpointSchedule, PROVISIONAL_LIMIT, ProvisionalDrains, ProvisionalError,
+    CheckpointInterval, CheckpointSchedule, PROVISIONAL_DRAIN_TTL, ProvisionalDrains,
+    ProvisionalError,
 };
 
 const START: Timestamp = Timestamp::from_millis(1_000_000);
@@ -21,7 +22,7 @@
     let add = |drains: &mut ProvisionalDrains, driver: &FoldDriver, now| {
         drains.add(
             &record.encode(),
-            PROVISIONAL_LIMIT,
+            PROVISIONAL_DRAIN_TTL,
             driver.fold.state(),
             now,
         )
@@ -31,8 +32,8 @@
     let target: crate::DrainTarget = name("failure-domain:muscat-a");
     assert!(drains.targets().contains(&target));
     let mut expiring = drains.clone();
-    assert!(!expiring.settle(driver.fold.state(), START + PROVISIONAL_LIMIT / 2));
-    assert!(expiring.settle(driver.fold.state(), START + PROVISIONAL_LIMIT));
+    assert!(!expiring.settle(driver.fold.state(), START + PROVISIONAL_DRAIN_TTL / 2));
+    assert!(expiring.settle(driver.fold.state(), START + PROVISIONAL_DRAIN_TTL));
     assert!(expiring.is_empty());
     driver.apply(&record);
     assert!(drains.settle(driver.fold.state(), START));
@@ -50,7 +51,7 @@
     let mut drains = ProvisionalDrains::default();
     let late = drains.add(
         &record.encode(),
-        PROVISIONAL_LIMIT,
+        PROVISIONAL_DRAIN_TTL,
         driver.fold.state(),
         START,
     );
@@ -64,17 +65,17 @@
     for record in [drain("d-1", "vm:vm-1", false), publish("p-1", 0, "salma")] {
         let refused = drains.add(
             &record.encode(),
-            PROVISIONAL_LIMIT,
+            PROVISIONAL_DRAIN_TTL,
             driver.fold.state(),
             START,
         );
         assert_eq!(refused, Err(ProvisionalError::Kind));
     }
-    let torn = drains.add(b"{", PROVISIONAL_LIMIT, driver.fold.state(), START);
+    let torn = drains.add(b"{", PROVISIONAL_DRAIN_TTL, driver.fold.state(), START);
     assert!(matches!(torn, Err(ProvisionalError::Unreadable(_))));
 }
 
-const PACE: CheckpointPace = CheckpointPace {
+const PACE: CheckpointInterval = CheckpointInterval {
     every: Duration::from_secs(600),
     records: 10,
 };
--- a/crates/sesamecart-fold/src/tests/reader.rs
+++ b/crates/sesamecart-fold/src/tests/reader.rs
@@ -3,13 +3,13 @@
 use sesamecart_vocabulary::{Offset, Revision, ShardId};
 
 use super::fixtures::{FoldDriver, MemoryLog, drain, intent, intents, publish};
-use crate::action::ACTION_HORIZON_MS;
-use crate::{CheckpointError, Fold, LogReader, Record, Standing};
+use crate::action::ACTION_RETENTION_MS;
+use crate::{CheckpointError, Fold, LogReader, ReaderStatus, Record};
 
-fn read_all(log: &MemoryLog, reader: &mut LogReader) -> Standing {
+fn read_all(log: &MemoryLog, reader: &mut LogReader) -> ReaderStatus {
     for _ in 0..100 {
-        let standing = log.read_into(reader).standing;
-        if matches!(standing, Standing::AtTail | Standing::Stranded) {
+        let standing = log.read_into(reader).status;
+        if matches!(standing, ReaderStatus::AtTail | ReaderStatus::NoCheckpoint) {
             return standing;
         }
     }
@@ -34,7 +34,7 @@
 fn reader_applies_all_pages_up_to_the_tail() {
     let log = log_with_revisions(8, &[3]);
     let mut reader = LogReader::default();
-    assert_eq!(read_all(&log, &mut reader), Standing::AtTail);
+    assert_eq!(read_all(&log, &mut reader), ReaderStatus::AtTail);
     assert_eq!(reader.fold().state().revision, Revision(8));
     assert_eq!(reader.fold().state().checkpoint.unwrap().offset, Offset(4));
 }
@@ -48,10 +48,10 @@
     read_all(&log, &mut old);
     log.truncate_before(Offset(4));
     let mut new = LogReader::default();
-    assert_eq!(read_all(&log, &mut new), Standing::AtTail);
+    assert_eq!(read_all(&log, &mut new), ReaderStatus::AtTail);
     let without_actions = old.fold().state().without_actions();
     assert_eq!(new.fold().state().without_actions(), without_actions);
-    assert!(!new.fold().state().knows_actions());
+    assert!(!new.fold().state().has_all_actions());
     new.adopt(old.fold().state().clone()).unwrap();
     assert_eq!(new.fold().state(), old.fold().state());
 }
@@ -94,7 +94,7 @@
         );
     }
     log.truncate_before(Offset(7));
-    assert_eq!(read_all(&log, &mut reader), Standing::Stranded);
+    assert_eq!(read_all(&log, &mut reader), ReaderStatus::NoCheckpoint);
     assert_eq!(reader.fold().state().revision, Revision(4));
 }
 
@@ -108,7 +108,7 @@
     log.append(slow.encode());
     log.truncate_before(Offset(4));
     let mut reader = LogReader::default();
-    assert_eq!(read_all(&log, &mut reader), Standing::Stranded);
+    assert_eq!(read_all(&log, &mut reader), ReaderStatus::NoCheckpoint);
     assert_eq!(reader.fold().state().next_offset, Offset(0));
 }
 
@@ -121,10 +121,10 @@
     read_all(&log, &mut peer);
     log.truncate_before(Offset(5));
     let mut new = LogReader::default();
-    assert_eq!(read_all(&log, &mut new), Standing::Stranded);
+    assert_eq!(read_all(&log, &mut new), ReaderStatus::NoCheckpoint);
     log.append(publish("later", 6, "ines").encode());
     new.adopt(peer.fold().state().clone()).unwrap();
-    assert_eq!(read_all(&log, &mut new), Standing::AtTail);
+    assert_eq!(read_all(&log, &mut new), ReaderStatus::AtTail);
     assert_eq!(new.fold().state().revision, Revision(7));
 }
 
@@ -150,7 +150,7 @@
     };
     let without_actions = reader.fold().state().without_actions();
     assert_eq!(*Fold::from_checkpoint(*state).state(), without_actions);
-    let record = reader.fold().hand_over();
+    let record = reader.fold().checkpoint_with_actions();
     let envelope = Record::decode(&record.encode()).unwrap();
     let state = Box::new(reader.fold().state().clone());
     assert_eq!(envelope.record, Record::Checkpoint { state });
@@ -207,12 +207,12 @@
     };
     assert!(started.fold.state().actions.is_empty());
     started.apply(&intents(shard, epoch, "after", "a-2"));
-    started.now_ms = 1_000 + ACTION_HORIZON_MS;
+    started.now_ms = 1_000 + ACTION_RETENTION_MS;
     started.apply(&drain("d-1", "vm:vm-1", true));
-    assert!(!started.fold.state().knows_actions());
+    assert!(!started.fold.state().has_all_actions());
     started.now_ms += 1;
     started.apply(&drain("d-2", "vm:vm-1", true));
-    assert!(started.fold.state().knows_actions());
+    assert!(started.fold.state().has_all_actions());
 }
 
 /// A node that was offline for longer than the log's retention adopts a checkpoint. It must keep the actions
@@ -235,7 +235,7 @@
             .get(&intent("k", "a-1").action_key())
             .is_some()
     );
-    assert!(!away.state().knows_actions());
+    assert!(!away.state().has_all_actions());
     let refused = driver.fold.adopt(*state);
     assert_eq!(refused, Err(CheckpointError::FewerActions));
 }
@@ -248,7 +248,10 @@
     let mut reader = LogReader::default();
     read_all(&log, &mut reader);
     let lagging = log_with_revisions(2, &[]);
-    assert_eq!(lagging.read_into(&mut reader).standing, Standing::Ahead);
+    assert_eq!(
+        lagging.read_into(&mut reader).status,
+        ReaderStatus::LogOutdated
+    );
     assert_eq!(reader.fold().state().revision, Revision(3));
-    assert_eq!(log.read_into(&mut reader).standing, Standing::AtTail);
+    assert_eq!(log.read_into(&mut reader).status, ReaderStatus::AtTail);
 }
--- a/crates/sesamecart-fold/src/tests/verdicts.rs
+++ b/crates/sesamecart-fold/src/tests/verdicts.rs
@@ -5,7 +5,7 @@
 use super::fixtures::{
     FoldDriver, assign, claim, drain, intent, intents, name, outcome, publish, shard_of, unassign,
 };
-use crate::action::ACTION_HORIZON_MS;
+use crate::action::ACTION_RETENTION_MS;
 use crate::{ActionEnd, Applied, DecodeError, PublishVerdict, Record, Rejection};
 
 /// Two operators concurrently publish changes based on the same revision. The same change must win on every
@@ -109,7 +109,7 @@
     };
     assert_eq!(late, Applied::Rejected(expected));
     assert!(driver.claim(shard, "n2") > first);
-    let beyond = ShardId(sesamecart_vocabulary::SHARDS);
+    let beyond = ShardId(sesamecart_vocabulary::SHARD_COUNT);
     let beyond = driver.apply(&claim(beyond, "n1", None));
     assert!(matches!(
         beyond,
@@ -299,7 +299,7 @@
     let shard = ShardId(3);
     let epoch = driver.claim(shard, "n1");
     driver.apply(&intents(shard, epoch, "k", "a-1"));
-    driver.now_ms = ACTION_HORIZON_MS;
+    driver.now_ms = ACTION_RETENTION_MS;
     driver.apply(&drain("d-1", "vm:vm-1", true));
     assert_eq!(driver.fold.state().actions.len(), 1);
     driver.now_ms += 1;
--- a/crates/sesamecart-fold/src/verdict.rs
+++ b/crates/sesamecart-fold/src/verdict.rs
@@ -14,7 +14,7 @@
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Applied {
     /// The record had already been applied; nothing changed.
-    Before,
+    AlreadyApplied,
     /// Records between the state and this one are missing; nothing changed.
     Gap {
         /// The next offset that the state needs.
--- a/crates/sesamecart-lease/src/leases.rs
+++ b/crates/sesamecart-lease/src/leases.rs
@@ -3,9 +3,9 @@
 use indexmap::{IndexMap, IndexSet};
 use sesamecart_vocabulary::{Epoch, NodeId, ShardId, Timestamp};
 
-use crate::owner_snapshot::{LeasePeriod, Owner, Owners};
+use crate::owner_snapshot::{LeasePeriod, Owner, OwnerSnapshot};
 use crate::placement::desired_owners;
-use crate::record::{ClaimDraft, ClaimSeen, Effect, Holder, LeaseSeen, ReleaseSeen, Verdict};
+use crate::record::{ClaimDraft, ClaimRecord, Effect, Holder, LeaseState, ReleaseRecord, Verdict};
 use crate::settings::{LeaseSettings, LeaseSettingsError};
 use crate::shard::{Role, Shard};
 use crate::view::{NodeState, View};
@@ -62,14 +62,14 @@
 
     /// Installs a lease from a checkpoint or from a peer's state; an older one than the known lease is
     /// ignored.
-    pub fn install(&mut self, lease: LeaseSeen) {
+    pub fn install(&mut self, lease: LeaseState) {
         if let Some(shard) = self.shard_mut(lease.shard) {
             shard.install(lease);
         }
     }
 
     /// Applies a claim record; records must come in log order.
-    pub fn on_claim(&mut self, claim: &ClaimSeen, now: Timestamp) -> Verdict {
+    pub fn on_claim(&mut self, claim: &ClaimRecord, now: Timestamp) -> Verdict {
         let (local, settings) = (self.local.clone(), self.settings);
         match self.shard_mut(claim.shard) {
             Some(shard) => shard.apply_claim(claim, &local, &settings, now),
@@ -78,7 +78,7 @@
     }
 
     /// Applies a release record; records must come in log order.
-    pub fn on_release(&mut self, release: ReleaseSeen) {
+    pub fn on_release(&mut self, release: ReleaseRecord) {
         if let Some(shard) = self.shard_mut(release.shard) {
             shard.apply_release(release);
         }
@@ -87,7 +87,7 @@
     /// Renews all held leases after a log read that started at `begun` and was applied up to the tail.
     ///
     /// Records forwarded by peers don't renew a lease, because a peer's tail may be outdated.
-    pub fn on_tail(&mut self, begun: Timestamp, now: Timestamp) {
+    pub fn on_tail_read(&mut self, begun: Timestamp, now: Timestamp) {
         self.has_read_tail = true;
         self.last_tail_read_at = Some(now);
         for shard in &mut self.shards {
@@ -191,8 +191,8 @@
 
     /// Returns a snapshot of all owners for use by other threads.
     #[must_use]
-    pub fn owners(&self) -> Owners {
-        let mut owners = Owners::default();
+    pub fn owners(&self) -> OwnerSnapshot {
+        let mut owners = OwnerSnapshot::default();
         for shard in &self.shards {
             let Some(lease) = &shard.lease else {
                 continue;
@@ -289,7 +289,7 @@
         };
         for to in requests.voters {
             if to != self.local.node {
-                effects.push(Effect::AskVote {
+                effects.push(Effect::RequestVote {
                     to,
                     vote: vote.clone(),
                 });
@@ -343,7 +343,7 @@
             }
             Role::None => return None,
             Role::Releasing { since } if now < *since + self.settings.vote_interval => return None,
-            Role::Releasing { .. } => Effect::AppendRelease(ReleaseSeen {
+            Role::Releasing { .. } => Effect::AppendRelease(ReleaseRecord {
                 shard: id,
                 epoch: shard.epoch()?,
             }),
@@ -459,7 +459,7 @@
             return false;
         }
         let since = *shard.preferred_owner_since.get_or_insert(now);
-        now >= since + self.settings.handover_hold
+        now >= since + self.settings.handover_delay
     }
 
     /// Returns whether the log was read recently, so that an append is likely to succeed.
--- a/crates/sesamecart-lease/src/lib.rs
+++ b/crates/sesamecart-lease/src/lib.rs
@@ -20,9 +20,9 @@
 mod tests;
 
 pub use leases::Leases;
-pub use owner_snapshot::{Owner, Owners};
+pub use owner_snapshot::{Owner, OwnerSnapshot};
 pub use placement::desired_owners;
-pub use record::{ClaimDraft, ClaimSeen, Effect, Holder, LeaseSeen, ReleaseSeen, Verdict};
+pub use record::{ClaimDraft, ClaimRecord, Effect, Holder, LeaseState, ReleaseRecord, Verdict};
 pub use settings::{LeaseSettings, LeaseSettingsError};
 pub use view::{NodeState, NodeView, View};
 pub use vote::{Vote, VoteAnswer, VotePurpose};
--- a/crates/sesamecart-lease/src/owner_snapshot.rs
+++ b/crates/sesamecart-lease/src/owner_snapshot.rs
@@ -30,11 +30,11 @@
 /// An old snapshot is safe to use, because it contains the time at which a lease ends, and a claimant waits
 /// until that time has passed before it acts.
 #[derive(Clone, Debug, Default)]
-pub struct Owners {
+pub struct OwnerSnapshot {
     pub(crate) shards: IndexMap<ShardId, Owner>,
 }
 
-impl Owners {
+impl OwnerSnapshot {
     /// Returns the owner of a shard, or `None` if the shard is unclaimed or released.
     #[must_use]
     pub fn owner(&self, shard: ShardId) -> Option<&Owner> {
--- a/crates/sesamecart-lease/src/record.rs
+++ b/crates/sesamecart-lease/src/record.rs
@@ -21,7 +21,7 @@
 
 /// A claim record read from the log.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct ClaimSeen {
+pub struct ClaimRecord {
     /// The claimed shard.
     pub shard: ShardId,
     /// The record's offset, which becomes the epoch if the claim is accepted.
@@ -36,7 +36,7 @@
 
 /// A release record read from the log.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct ReleaseSeen {
+pub struct ReleaseRecord {
     /// The released shard.
     pub shard: ShardId,
     /// The epoch whose holder has stopped acting.
@@ -45,7 +45,7 @@
 
 /// The state of a shard's lease in the fold: its last accepted claim.
 #[derive(Clone, Debug, Eq, PartialEq, Serialize, Deserialize)]
-pub struct LeaseSeen {
+pub struct LeaseState {
     /// The shard.
     pub shard: ShardId,
     /// The epoch.
@@ -87,9 +87,9 @@
     /// [`crate::Leases::append_refused`].
     AppendClaim(ClaimDraft),
     /// Append a release of this epoch.
-    AppendRelease(ReleaseSeen),
+    AppendRelease(ReleaseRecord),
     /// Send a vote request.
-    AskVote {
+    RequestVote {
         /// The voter.
         to: NodeId,
         /// The request.
--- a/crates/sesamecart-lease/src/settings.rs
+++ b/crates/sesamecart-lease/src/settings.rs
@@ -30,7 +30,7 @@
     /// The delay after a node's start before it takes over from a holder that isn't in its view.
     pub unknown_holder_delay: Duration,
     /// The time for which another node must be the preferred owner before a shard is handed over to it.
-    pub handover_hold: Duration,
+    pub handover_delay: Duration,
     /// The maximum number of records that one tick appends, so that the loss of a rack doesn't use up the
     /// log's rate limit at once.
     pub appends_per_tick: usize,
@@ -83,7 +83,7 @@
             vote_interval: Duration::from_millis(700),
             startup_delay: Duration::from_secs(2),
             unknown_holder_delay: Duration::from_secs(15),
-            handover_hold: Duration::from_secs(2),
+            handover_delay: Duration::from_secs(2),
             appends_per_tick: 8,
             #[cfg(test)]
             mutant: None,
--- a/crates/sesamecart-lease/src/shard.rs
+++ b/crates/sesamecart-lease/src/shard.rs
@@ -3,7 +3,7 @@
 use indexmap::IndexMap;
 use sesamecart_vocabulary::{Epoch, NodeId, ShardId, Timestamp};
 
-use crate::record::{ClaimSeen, Holder, LeaseSeen, ReleaseSeen, Verdict};
+use crate::record::{ClaimRecord, Holder, LeaseState, ReleaseRecord, Verdict};
 use crate::settings::LeaseSettings;
 use crate::vote::{Vote, VoteAnswer, VotePurpose};
 use crate::voters::majority;
@@ -13,7 +13,7 @@
 pub(crate) struct Shard {
     id: ShardId,
     /// The last accepted claim.
-    pub(crate) lease: Option<LeaseSeen>,
+    pub(crate) lease: Option<LeaseState>,
     pub(crate) role: Role,
     /// When this node last sent a claim or release.
     pub(crate) last_append_at: Option<Timestamp>,
@@ -78,7 +78,7 @@
     }
 
     /// Installs a lease from a checkpoint or from a peer's state.
-    pub(crate) fn install(&mut self, lease: LeaseSeen) {
+    pub(crate) fn install(&mut self, lease: LeaseState) {
         if Some(lease.epoch) > self.epoch() {
             self.role = Role::None;
             self.pending_claims = 0;
@@ -94,7 +94,7 @@
     /// Applies a claim record in log order.
     pub(crate) fn apply_claim(
         &mut self,
-        claim: &ClaimSeen,
+        claim: &ClaimRecord,
         local: &Holder,
         settings: &LeaseSettings,
         now: Timestamp,
@@ -102,7 +102,7 @@
         if claim.builds_on != self.epoch() || Some(claim.epoch) <= self.epoch() {
             return Verdict::Stale;
         }
-        let before = self.lease.replace(LeaseSeen {
+        let before = self.lease.replace(LeaseState {
             shard: claim.shard,
             epoch: claim.epoch,
             holder: claim.holder.clone(),
@@ -126,7 +126,7 @@
     }
 
     /// Applies a release record in log order.
-    pub(crate) fn apply_release(&mut self, release: ReleaseSeen) {
+    pub(crate) fn apply_release(&mut self, release: ReleaseRecord) {
         let Some(lease) = &mut self.lease else {
             return;
         };
@@ -248,7 +248,7 @@
     /// Starts a claim that succeeds the lease `before`, if any.
     fn new(
         epoch: Epoch,
-        before: Option<LeaseSeen>,
+        before: Option<LeaseState>,
         settings: &LeaseSettings,
         now: Timestamp,
     ) -> Self {
--- a/crates/sesamecart-lease/src/tests/placement.rs
+++ b/crates/sesamecart-lease/src/tests/placement.rs
@@ -1,6 +1,6 @@
 //! Tests of the placement of owners and voters.
 
-use sesamecart_vocabulary::{Incarnation, NodeId, SHARDS, ShardId};
+use sesamecart_vocabulary::{Incarnation, NodeId, SHARD_COUNT, ShardId};
 
 use crate::{NodeState, NodeView, View, choose_voters, desired_owners};
 
@@ -22,8 +22,8 @@
 
 fn moved_shards(before: &View, after: &View) -> usize {
     let (before, after) = (
-        desired_owners(SHARDS, before),
-        desired_owners(SHARDS, after),
+        desired_owners(SHARD_COUNT, before),
+        desired_owners(SHARD_COUNT, after),
     );
     before
         .iter()
@@ -60,9 +60,9 @@
 
 /// Without a bound, the most loaded node would own far more than its share of the shards and their actions.
 fn owners_are_balanced(count: usize) {
-    let owners = desired_owners(SHARDS, &view_of(count));
-    assert_eq!(owners.len(), usize::from(SHARDS));
-    let max_shards = (usize::from(SHARDS) * 5).div_ceil(count * 4);
+    let owners = desired_owners(SHARD_COUNT, &view_of(count));
+    assert_eq!(owners.len(), usize::from(SHARD_COUNT));
+    let max_shards = (usize::from(SHARD_COUNT) * 5).div_ceil(count * 4);
     for index in 0..count {
         let node = node_id(index);
         let held = owners.values().filter(|owner| **owner == node).count();
@@ -79,20 +79,20 @@
     let before = view_of(count);
     let mut after = before.clone();
     after.nodes.shift_remove(&node_id(0));
-    let own = desired_owners(SHARDS, &before)
+    let own = desired_owners(SHARD_COUNT, &before)
         .values()
         .filter(|owner| **owner == node_id(0))
         .count();
     let moved = moved_shards(&before, &after);
     println!("{count} nodes: {moved} moved, {own} of them the node's own");
-    assert!(moved <= own + usize::from(SHARDS) / 8);
+    assert!(moved <= own + usize::from(SHARD_COUNT) / 8);
 }
 
 /// A zone loses power during a log outage. If it contained a majority of a shard's voters, the shard's holder
 /// would have to stop although two zones are healthy.
 fn voters_span_failure_domains(count: usize) {
     let view = view_of(count);
-    for shard in (0..SHARDS).map(ShardId) {
+    for shard in (0..SHARD_COUNT).map(ShardId) {
         let voters = choose_voters(shard, &view);
         assert!(voters.len() % 2 == 1 && voters.len() >= count.min(3));
         for domain in 0..3 {
--- a/crates/sesamecart-lease/src/tests/simulation.rs
+++ b/crates/sesamecart-lease/src/tests/simulation.rs
@@ -6,8 +6,8 @@
 
 use crate::settings::Mutant;
 use crate::{
-    ClaimSeen, Effect, Holder, LeaseSettings, Leases, NodeState, NodeView, ReleaseSeen, View, Vote,
-    VoteAnswer,
+    ClaimRecord, Effect, Holder, LeaseSettings, Leases, NodeState, NodeView, ReleaseRecord, View,
+    Vote, VoteAnswer,
 };
 
 pub(super) const NODES: usize = 4;
@@ -23,7 +23,7 @@
         builds_on: Option<Epoch>,
         voters: Vec<NodeId>,
     },
-    Release(ReleaseSeen),
+    Release(ReleaseRecord),
 }
 
 #[derive(Clone, Debug)]
@@ -216,7 +216,7 @@
         };
         self.apply(node, end);
         let now = local_time(self.now, self.nodes[node].drift_ppm);
-        self.nodes[node].leases.on_tail(begun, now);
+        self.nodes[node].leases.on_tail_read(begun, now);
     }
 
     fn apply(&mut self, node: usize, end: usize) {
@@ -230,7 +230,7 @@
                     builds_on,
                     voters,
                 } => {
-                    let claim = ClaimSeen {
+                    let claim = ClaimRecord {
                         shard: SHARD,
                         epoch: Epoch(offset as u64),
                         holder: holder.clone(),
@@ -259,7 +259,7 @@
                     voters: draft.voters,
                 },
                 Effect::AppendRelease(release) => Record::Release(release),
-                Effect::AskVote { to, vote } => {
+                Effect::RequestVote { to, vote } => {
                     let to = index_of(&to);
                     self.messages.push(Message::Request {
                         from: index,
--- a/crates/sesamecart-links/src/channel.rs
+++ b/crates/sesamecart-links/src/channel.rs
@@ -11,7 +11,7 @@
 use http::{Request, Response, Uri};
 use hyper::body::Incoming;
 use hyper::client::conn::http2::{Builder, SendRequest};
-use sesamecart_runtime::{ByteCount, Counted, Tasks, connect, within};
+use sesamecart_runtime::{ByteCounters, CountingStream, Tasks, connect, with_timeout};
 use smol_hyper::rt::{FuturesIo, SmolExecutor};
 use tonic::body::Body;
 use tonic::codegen::Service;
@@ -35,7 +35,7 @@
 pub struct Channel {
     peer: SocketAddr,
     tasks: Tasks,
-    byte_count: ByteCount,
+    byte_count: ByteCounters,
     connection: Arc<Mutex<Option<Connection>>>,
     /// The number of connections opened so far.
     connections_opened: Arc<AtomicU64>,
@@ -58,7 +58,7 @@
 }
 
 impl Channel {
-    pub(crate) fn new(peer: SocketAddr, tasks: Tasks, byte_count: ByteCount) -> Self {
+    pub(crate) fn new(peer: SocketAddr, tasks: Tasks, byte_count: ByteCounters) -> Self {
         Self {
             peer,
             tasks,
@@ -106,7 +106,7 @@
         let stream = connect(self.peer, CONNECT_TIMEOUT)
             .await
             .map_err(|error| self.error(LinkStep::Connect, error))?;
-        let io = FuturesIo::new(Counted::new(stream, self.byte_count.clone()));
+        let io = FuturesIo::new(CountingStream::new(stream, self.byte_count.clone()));
         let executor = SmolExecutor::new(Arc::clone(self.tasks.executor()));
         let (sender, connection) = Builder::new(executor)
             .handshake(io)
@@ -137,7 +137,7 @@
             sender.ready().await?;
             sender.send_request(req).await
         };
-        match within(CALL_TIMEOUT, response).await {
+        match with_timeout(CALL_TIMEOUT, response).await {
             Ok(Ok(response)) => {
                 guard.disarm();
                 Ok(response)
--- a/crates/sesamecart-links/src/channel/tests.rs
+++ b/crates/sesamecart-links/src/channel/tests.rs
@@ -4,7 +4,7 @@
 use std::sync::mpsc::channel;
 use std::time::Duration;
 
-use sesamecart_runtime::{ByteCount, Worker, within};
+use sesamecart_runtime::{ByteCounters, Worker, with_timeout};
 
 use super::CALL_TIMEOUT;
 use crate::feed::FollowRequest;
@@ -29,10 +29,10 @@
         }
     });
     let worker = Worker::start("caller").expect("a thread starts");
-    let links = Links::new(worker.tasks().clone(), ByteCount::default());
+    let links = Links::new(worker.tasks().clone(), ByteCounters::default());
     for _ in 0..2 {
-        let mut feed = links.feed_of(peer);
-        let response = within(CALLER_TIMEOUT, feed.follow(FollowRequest::default()));
+        let mut feed = links.feed_client(peer);
+        let response = with_timeout(CALLER_TIMEOUT, feed.follow(FollowRequest::default()));
         let response = async_io::block_on(response);
         assert!(response.is_err(), "the call times out");
     }
--- a/crates/sesamecart-links/src/links.rs
+++ b/crates/sesamecart-links/src/links.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 
 use indexmap::IndexMap;
-use sesamecart_runtime::{ByteCount, Tasks};
+use sesamecart_runtime::{ByteCounters, Tasks};
 
 use crate::channel::Channel;
 use crate::feed::feed_client::FeedClient;
@@ -24,14 +24,14 @@
 #[derive(Clone, Debug)]
 pub struct Links {
     tasks: Tasks,
-    byte_count: ByteCount,
+    byte_count: ByteCounters,
     channels: Arc<Mutex<IndexMap<SocketAddr, Channel>>>,
 }
 
 impl Links {
     /// Creates a pool whose connections run on `tasks` and add their traffic to `byte_count`.
     #[must_use]
-    pub fn new(tasks: Tasks, byte_count: ByteCount) -> Self {
+    pub fn new(tasks: Tasks, byte_count: ByteCounters) -> Self {
         Self {
             tasks,
             byte_count,
@@ -47,7 +47,7 @@
 
     /// Returns a client for the feed service of the node at `peer`.
     #[must_use]
-    pub fn feed_of(&self, peer: SocketAddr) -> FeedClient<Channel> {
+    pub fn feed_client(&self, peer: SocketAddr) -> FeedClient<Channel> {
         FeedClient::new(self.channel(peer)).max_decoding_message_size(MAX_FEED_BYTES)
     }
 
--- a/crates/sesamecart-links/src/server.rs
+++ b/crates/sesamecart-links/src/server.rs
@@ -8,7 +8,7 @@
 use hyper::body::Incoming;
 use hyper::server::conn::http2::Builder;
 use hyper::service::service_fn;
-use sesamecart_runtime::{ByteCount, Counted, Tasks, accept};
+use sesamecart_runtime::{ByteCounters, CountingStream, Tasks, accept};
 use smol_hyper::rt::{FuturesIo, SmolExecutor, SmolTimer};
 use tonic::body::Body;
 use tonic::codegen::Service;
@@ -28,7 +28,7 @@
     listener: TcpListener,
     link: impl Link,
     tasks: Tasks,
-    byte_count: ByteCount,
+    byte_count: ByteCounters,
 ) -> std::io::Result<()> {
     let server = LinkServer::new(link)
         .max_decoding_message_size(MAX_MESSAGE_BYTES)
@@ -45,7 +45,7 @@
     listener: TcpListener,
     feed: impl Feed,
     tasks: Tasks,
-    byte_count: ByteCount,
+    byte_count: ByteCounters,
 ) -> std::io::Result<()> {
     serve_calls(listener, FeedServer::new(feed), tasks, byte_count).await
 }
@@ -54,7 +54,7 @@
     listener: TcpListener,
     server: S,
     tasks: Tasks,
-    byte_count: ByteCount,
+    byte_count: ByteCounters,
 ) -> std::io::Result<()>
 where
     S: Service<http::Request<Incoming>, Response = http::Response<Body>, Error = Infallible>
@@ -73,7 +73,7 @@
             async move { server.call(req).await }
         });
         let executor = SmolExecutor::new(Arc::clone(tasks.executor()));
-        let io = FuturesIo::new(Counted::new(accepted.stream, byte_count.clone()));
+        let io = FuturesIo::new(CountingStream::new(accepted.stream, byte_count.clone()));
         let connection = Builder::new(executor)
             .timer(SmolTimer::new())
             .serve_connection(io, service);
--- a/crates/sesamecart-measure/src/caller.rs
+++ b/crates/sesamecart-measure/src/caller.rs
@@ -9,7 +9,7 @@
 use http::{HeaderMap, Method, Request, StatusCode};
 use http_body_util::{BodyExt as _, Full};
 use serde_json::{Value, json};
-use sesamecart_edges::{DEADLINE_MS, HttpClient, IDEMPOTENCY_KEY, Reuse, read_whole};
+use sesamecart_edges::{DEADLINE_MS, HttpClient, IDEMPOTENCY_KEY, Reuse, read_body};
 use sesamecart_runtime::Tasks;
 use sesamecart_vocabulary::Bytes as ByteSize;
 
@@ -92,8 +92,8 @@
         let req = self.request(node, method, path, idempotency_key, body.into())?;
         let exchange = self.client.send(node, req, Reuse::Allowed, LIMIT).await?;
         let (head, incoming) = exchange.response.into_parts();
-        let body = read_whole(incoming, MAX_ANSWER, LIMIT).await?;
-        exchange.lease.give_back();
+        let body = read_body(incoming, MAX_ANSWER, LIMIT).await?;
+        exchange.lease.return_to_pool();
         Ok(Answer {
             status: head.status,
             headers: head.headers,
@@ -156,8 +156,8 @@
             error: None,
         };
         if !head.status.is_success() {
-            let body = read_whole(incoming, MAX_ANSWER, LIMIT).await?;
-            exchange.lease.give_back();
+            let body = read_body(incoming, MAX_ANSWER, LIMIT).await?;
+            exchange.lease.return_to_pool();
             answer.error = Some(String::from_utf8_lossy(&body).into_owned());
             return Ok(answer);
         }
@@ -170,7 +170,7 @@
             take_events(&mut buf, begun, &mut answer)?;
         }
         ensure!(buf.is_empty(), "the stream ended inside an event");
-        exchange.lease.give_back();
+        exchange.lease.return_to_pool();
         Ok(answer)
     }
 
--- a/crates/sesamecart-measure/src/control.rs
+++ b/crates/sesamecart-measure/src/control.rs
@@ -21,7 +21,7 @@
 use serde::Serialize;
 use sesamecart_runtime::sleep;
 use sesamecart_standins::EngineSpeed;
-use sesamecart_vocabulary::{SHARDS, ShardId};
+use sesamecart_vocabulary::{SHARD_COUNT, ShardId};
 
 use crate::cluster::{Cluster, ClusterPlan, NodePlan};
 use crate::fit::Fit;
@@ -342,7 +342,7 @@
             let mut nodes = cluster.nodes.iter();
             nodes.any(|node| node.shared().may_act(*shard).is_some())
         };
-        let missing = (0..SHARDS).map(ShardId).filter(|shard| !owned(shard));
+        let missing = (0..SHARD_COUNT).map(ShardId).filter(|shard| !owned(shard));
         let missing = missing.count();
         if missing == 0 {
             return Ok(begun.elapsed());
--- a/crates/sesamecart-measure/src/roles/actions.rs
+++ b/crates/sesamecart-measure/src/roles/actions.rs
@@ -4,7 +4,9 @@
 use std::time::Duration;
 
 use indexmap::IndexMap;
-use sesamecart_actions::{Asking, Durable, Effect, KnownActions, Owner, OwnerConfig, Ticket};
+use sesamecart_actions::{
+    AttemptRequest, CallId, CommitResult, Effect, Owner, OwnerConfig, OwnerContext,
+};
 use sesamecart_fold::{ActionEnd, ActionKey, Actions, EncodedBody};
 use sesamecart_vocabulary::{BodyDigest, Epoch, ShardId, Timestamp};
 
@@ -19,8 +21,8 @@
     );
 }
 
-fn known(actions: &Actions, now: Timestamp) -> KnownActions<'_> {
-    KnownActions {
+fn known(actions: &Actions, now: Timestamp) -> OwnerContext<'_> {
+    OwnerContext {
         now,
         wall_ms: now.as_millis(),
         actions,
@@ -28,8 +30,8 @@
     }
 }
 
-fn asking(number: usize, now: Timestamp) -> Asking {
-    Asking {
+fn asking(number: usize, now: Timestamp) -> AttemptRequest {
+    AttemptRequest {
         key: ActionKey {
             customer: "customer-1".parse().expect("a name"),
             service: "stock".parse().expect("a name"),
@@ -37,14 +39,14 @@
         },
         body_digest: BodyDigest::of(b"body"),
         attempt: format!("a-{number}").parse().expect("a name"),
-        until: now + Duration::from_secs(30),
+        deadline: now + Duration::from_secs(30),
     }
 }
 
 /// Begins an action and confirms that its intent is durable.
 fn begin(owner: &mut Owner, actions: &Actions, number: usize, now: Timestamp) {
     let mut out = Vec::new();
-    let ticket = Ticket(u64::try_from(number).expect("it fits"));
+    let ticket = CallId(u64::try_from(number).expect("it fits"));
     owner.begin(known(actions, now), ticket, asking(number, now), &mut out);
     commit(owner, actions, now, out);
 }
@@ -53,7 +55,11 @@
     for effect in out {
         if let Effect::Commit(item) = effect {
             let mut replies = Vec::new();
-            owner.committed(known(actions, now), &Durable::Logged(item), &mut replies);
+            owner.on_commit_result(
+                known(actions, now),
+                &CommitResult::Logged(item),
+                &mut replies,
+            );
             black_box(replies);
         }
     }
@@ -63,7 +69,7 @@
     let actions = Actions::default();
     let mut owner = Owner::new(ShardId(1), Epoch(1), OwnerConfig::default());
     let mut now = Timestamp::from_millis(1);
-    owner.adopt(known(&actions, now), Vec::new(), true, &mut Vec::new());
+    owner.complete_takeover(known(&actions, now), Vec::new(), true, &mut Vec::new());
     for number in 0..under_way {
         begin(&mut owner, &actions, number, now);
     }
@@ -78,8 +84,8 @@
             body: EncodedBody::from(vec![b'x'; 64]),
         };
         let mut out = Vec::new();
-        let ticket = Ticket(u64::try_from(number).expect("it fits"));
-        owner.finish(
+        let ticket = CallId(u64::try_from(number).expect("it fits"));
+        owner.record_outcome(
             known(&actions, now),
             ticket,
             &oldest.key,
--- a/crates/sesamecart-measure/src/roles/follower.rs
+++ b/crates/sesamecart-measure/src/roles/follower.rs
@@ -5,7 +5,9 @@
 use indexmap::{IndexMap, IndexSet};
 use sesamecart_fold::{ActionIntent, Fold, Record};
 use sesamecart_node::Snapshot;
-use sesamecart_vocabulary::{BodyDigest, Epoch, Incarnation, Offset, Revision, SHARDS, ShardId};
+use sesamecart_vocabulary::{
+    BodyDigest, Epoch, Incarnation, Offset, Revision, SHARD_COUNT, ShardId,
+};
 
 use super::{Point, Series, fleet, to_f64};
 
@@ -109,7 +111,7 @@
     let mut fold = published(endpoints);
     let mut offset = 1;
     move || {
-        let shard = ShardId(u16::try_from(offset % u64::from(SHARDS)).expect("it fits"));
+        let shard = ShardId(u16::try_from(offset % u64::from(SHARD_COUNT)).expect("it fits"));
         let record = Record::Claim {
             shard,
             holder: "node-1".parse().expect("a name"),
--- a/crates/sesamecart-measure/src/roles/leases.rs
+++ b/crates/sesamecart-measure/src/roles/leases.rs
@@ -4,9 +4,9 @@
 
 use indexmap::IndexMap;
 use sesamecart_lease::{
-    ClaimSeen, Holder, LeaseSettings, Leases, NodeState, NodeView, View, Vote, VotePurpose,
+    ClaimRecord, Holder, LeaseSettings, Leases, NodeState, NodeView, View, Vote, VotePurpose,
 };
-use sesamecart_vocabulary::{Epoch, Incarnation, NodeId, SHARDS, ShardId, Timestamp};
+use sesamecart_vocabulary::{Epoch, Incarnation, NodeId, SHARD_COUNT, ShardId, Timestamp};
 
 use super::Series;
 
@@ -49,11 +49,11 @@
         incarnation: Incarnation(1),
     };
     let start = Timestamp::ZERO;
-    let mut leases =
-        Leases::new(me, SHARDS, LeaseSettings::default(), start).expect("the defaults are valid");
-    for shard in 0..SHARDS {
+    let mut leases = Leases::new(me, SHARD_COUNT, LeaseSettings::default(), start)
+        .expect("the defaults are valid");
+    for shard in 0..SHARD_COUNT {
         let owner = usize::from(shard) % nodes;
-        let claim = ClaimSeen {
+        let claim = ClaimRecord {
             shard: ShardId(shard),
             epoch: Epoch(u64::from(shard) + 1),
             holder: Holder {
@@ -74,7 +74,7 @@
     let mut now = Timestamp::from_millis(1);
     move || {
         now = now + std::time::Duration::from_millis(100);
-        leases.on_tail(now, now);
+        leases.on_tail_read(now, now);
         black_box(leases.tick(&view, now));
     }
 }
@@ -89,7 +89,7 @@
     move || {
         now = now + std::time::Duration::from_millis(100);
         even = !even;
-        leases.on_tail(now, now);
+        leases.on_tail_read(now, now);
         black_box(leases.tick(if even { &whole } else { &short }, now));
     }
 }
--- a/crates/sesamecart-measure/src/streams.rs
+++ b/crates/sesamecart-measure/src/streams.rs
@@ -13,7 +13,7 @@
 use fastrand::Rng;
 use gumdrop::Options;
 use serde::Serialize;
-use sesamecart_runtime::{Worker, sleep, within};
+use sesamecart_runtime::{Worker, sleep, with_timeout};
 use sesamecart_standins::{EngineFaults, EngineSpeed, answer_text, answer_token};
 use sesamecart_vocabulary::Concurrency;
 
@@ -262,7 +262,7 @@
         let answer = self.caller.chat(node, MODEL, &prompt, tokens);
         if rng.u32(..LEAVING) == 0 {
             let stays = Duration::from_millis(rng.u64(3..12));
-            let left = within(stays, answer).await.is_err();
+            let left = with_timeout(stays, answer).await.is_err();
             let mut found = self.found.lock().unwrap();
             found.streams += 1;
             found.left += u64::from(left);
--- a/crates/sesamecart-node/src/actions/asker.rs
+++ b/crates/sesamecart-node/src/actions/asker.rs
@@ -4,11 +4,11 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-use sesamecart_actions::{Asking, Decision, RefusalReason};
+use sesamecart_actions::{AttemptRequest, Decision, RefusalReason};
 use sesamecart_links::message::{
     BeginActionReply, BeginActionRequest, FinishActionReply, FinishActionRequest, HeartbeatRequest,
 };
-use sesamecart_runtime::{sleep, within};
+use sesamecart_runtime::{sleep, with_timeout};
 use sesamecart_vocabulary::{NodeId, ShardId, Timestamp};
 
 use super::desk::{Desk, shard_of};
@@ -50,16 +50,16 @@
     ///
     /// The same attempt may be asked for many times; the owner allows it once, and this node sends
     /// it once.
-    pub(crate) async fn ask(self: &Arc<Self>, asking: &Asking) -> Asked {
+    pub(crate) async fn ask(self: &Arc<Self>, asking: &AttemptRequest) -> Asked {
         let shard = shard_of(&asking.key);
         let begun = self.now();
-        let owner_by = (begun + OWNER_LIMIT).min(asking.until);
+        let owner_by = (begun + OWNER_LIMIT).min(asking.deadline);
         loop {
             let decision = self.ask_once(shard, asking).await;
             let now = self.now();
             match decision {
-                Some(Decision::Running { retry_after }) if now < asking.until => {
-                    sleep(retry_after.min(asking.until - now)).await;
+                Some(Decision::Running { retry_after }) if now < asking.deadline => {
+                    sleep(retry_after.min(asking.deadline - now)).await;
                 }
                 Some(
                     Decision::NotOwner
@@ -79,7 +79,11 @@
         }
     }
 
-    async fn ask_once(self: &Arc<Self>, shard: ShardId, asking: &Asking) -> Option<Decision> {
+    async fn ask_once(
+        self: &Arc<Self>,
+        shard: ShardId,
+        asking: &AttemptRequest,
+    ) -> Option<Decision> {
         match self.place(shard) {
             Place::Here => Some(self.begin_here(asking.clone()).await),
             Place::ToTake => {
@@ -90,11 +94,16 @@
         }
     }
 
-    async fn ask_there(&self, node: &NodeId, shard: ShardId, asking: &Asking) -> Option<Decision> {
+    async fn ask_there(
+        &self,
+        node: &NodeId,
+        shard: ShardId,
+        asking: &AttemptRequest,
+    ) -> Option<Decision> {
         let now = self.now();
         let mut client = self.peers.links().to(self.directory.address(node)?);
         let req = wire::begin_request(asking, &self.shared.identity.node, now);
-        let reply = within(CALL_LIMIT, client.begin_action(req)).await;
+        let reply = with_timeout(CALL_LIMIT, client.begin_action(req)).await;
         let Ok(Ok(reply)) = reply else {
             log::info!("actions: {node} does not answer for shard {shard}.");
             self.directory.suspect(node, self.now());
@@ -177,7 +186,7 @@
             return;
         };
         let mut client = self.peers.links().to(address);
-        let probed = within(PROBE_LIMIT, client.heartbeat(HeartbeatRequest::default())).await;
+        let probed = with_timeout(PROBE_LIMIT, client.heartbeat(HeartbeatRequest::default())).await;
         if matches!(probed, Ok(Ok(_))) {
             self.directory.trust(node);
         } else {
@@ -216,7 +225,7 @@
             drop(guard);
         };
         if many {
-            let _late = within(by - self.now(), telling).await;
+            let _late = with_timeout(by - self.now(), telling).await;
         } else {
             self.tasks.spawn(telling);
         }
@@ -224,7 +233,7 @@
 
     /// Tells the key's owner how a try ended and waits until that is durable, or until `by`.
     pub(crate) async fn tell_now(self: &Arc<Self>, ending: Ending, by: Timestamp) {
-        let _late = within(by - self.now(), self.tell_until_recorded(&ending)).await;
+        let _late = with_timeout(by - self.now(), self.tell_until_recorded(&ending)).await;
     }
 
     /// Returns how many ends wait to be told.
@@ -233,7 +242,7 @@
     }
 
     async fn tell_until_recorded(self: &Arc<Self>, ending: &Ending) {
-        let until = self.now() + Duration::from_millis(sesamecart_fold::ACTION_HORIZON_MS);
+        let until = self.now() + Duration::from_millis(sesamecart_fold::ACTION_RETENTION_MS);
         let (mut rest, longest) = TELL_RESTS;
         while self.now() < until {
             if self.tell_once(ending).await {
@@ -259,7 +268,7 @@
                 };
                 let mut client = self.peers.links().to(address);
                 let req = wire::finish_request(ending);
-                let reply = within(CALL_LIMIT, client.finish_action(req)).await;
+                let reply = with_timeout(CALL_LIMIT, client.finish_action(req)).await;
                 match reply {
                     Ok(Ok(reply)) => reply.get_ref().recorded,
                     Ok(Err(_)) | Err(_) => {
--- a/crates/sesamecart-node/src/actions/commit.rs
+++ b/crates/sesamecart-node/src/actions/commit.rs
@@ -5,10 +5,10 @@
 
 use futures_lite::future;
 use futures_util::future::join_all;
-use sesamecart_actions::{CommitStep, IntentVerdict, LogBatch, MirrorBatch, verdict_of};
+use sesamecart_actions::{CommitStep, IntentStatus, LogBatch, MirrorBatch, intent_status};
 use sesamecart_fold::{ActionIntent, ActionPart, LeaseRecord, Record};
 use sesamecart_links::message::MirrorIntentRequest;
-use sesamecart_runtime::{sleep, within};
+use sesamecart_runtime::{sleep, with_timeout};
 use sesamecart_vocabulary::NodeId;
 
 use super::desk::Desk;
@@ -65,7 +65,7 @@
             self.folded().applied(offset).await;
             Ok::<_, anyhow::Error>(())
         };
-        let done = match within(APPEND_LIMIT, read_back).await {
+        let done = match with_timeout(APPEND_LIMIT, read_back).await {
             Ok(Ok(())) => true,
             Ok(Err(error)) => {
                 log::debug!("actions: {error}.");
@@ -80,8 +80,8 @@
     fn note_logged(&self, id: u64, done: bool) {
         let now = self.now();
         let mut state = self.lock();
-        let was_out = state.commit.is_log_out();
-        let durable = state.commit.logged(now, id, done);
+        let was_out = state.commit.is_log_unavailable();
+        let durable = state.commit.finish_append(now, id, done);
         if was_out == done {
             let what = if done { "answers again" } else { "is out" };
             log::warn!("actions: the log {what}.");
@@ -91,7 +91,7 @@
 
     fn note_mirrored(&self, id: u64, kept: bool) {
         let mut state = self.lock();
-        let durable = state.commit.mirrored(id, kept);
+        let durable = state.commit.finish_mirror(id, kept);
         self.committed(&mut state, &durable);
     }
 
@@ -99,7 +99,7 @@
     fn all_stand(&self, intents: &[ActionIntent]) -> bool {
         let stands = |intent| {
             self.folded()
-                .with(|fold| verdict_of(&fold.actions, intent) == IntentVerdict::Stands)
+                .with(|fold| intent_status(&fold.actions, intent) == IntentStatus::Accepted)
         };
         !intents.is_empty() && intents.iter().all(stands)
     }
@@ -156,7 +156,7 @@
             return false;
         };
         let mut client = self.peers.links().to(address);
-        let reply = within(MIRROR_LIMIT, client.mirror_intent(req)).await;
+        let reply = with_timeout(MIRROR_LIMIT, client.mirror_intent(req)).await;
         matches!(reply, Ok(Ok(reply)) if reply.get_ref().kept)
     }
 }
--- a/crates/sesamecart-node/src/actions/desk.rs
+++ b/crates/sesamecart-node/src/actions/desk.rs
@@ -7,12 +7,12 @@
 use async_channel::{Receiver, Sender};
 use indexmap::{IndexMap, IndexSet};
 use sesamecart_actions::{
-    Asking, CommitConfig, Decision, Durable, Effect, GroupCommit, KnownActions, Mirrors,
-    MirrorsConfig, Owner, Ticket,
+    AttemptRequest, CallId, CommitConfig, CommitResult, Decision, Effect, GroupCommit,
+    MirroredIntents, MirroredIntentsConfig, Owner, OwnerContext,
 };
 use sesamecart_edges::Log;
 use sesamecart_fold::ActionKey;
-use sesamecart_runtime::{Tasks, within};
+use sesamecart_runtime::{Tasks, with_timeout};
 use sesamecart_vocabulary::{Incarnation, NodeId, ShardId, Timestamp};
 
 use super::directory::Directory;
@@ -38,7 +38,7 @@
 pub(super) struct State {
     pub(super) owners: IndexMap<ShardId, Owner>,
     pub(super) commit: GroupCommit,
-    pub(super) mirrors: Mirrors,
+    pub(super) mirrors: MirroredIntents,
     /// The shards whose claim or take-over is under way.
     pub(super) taking_over: IndexSet<ShardId>,
     /// The shards whose claim for fresh voters is sent and whose verdict isn't read.
@@ -46,8 +46,8 @@
     /// The lives of each owned shard's voters when they were first heard under its epoch.
     pub(super) voter_lives: IndexMap<ShardId, IndexMap<NodeId, Incarnation>>,
     pub(super) leaving: bool,
-    begins: IndexMap<Ticket, Sender<Decision>>,
-    finishes: IndexMap<Ticket, Sender<bool>>,
+    begins: IndexMap<CallId, Sender<Decision>>,
+    finishes: IndexMap<CallId, Sender<bool>>,
     next_ticket: u64,
 }
 
@@ -78,7 +78,7 @@
         let state = State {
             owners: IndexMap::new(),
             commit: GroupCommit::new(CommitConfig::default()),
-            mirrors: Mirrors::new(MirrorsConfig::default()),
+            mirrors: MirroredIntents::new(MirroredIntentsConfig::default()),
             taking_over: IndexSet::new(),
             renewing: IndexSet::new(),
             voter_lives: IndexMap::new(),
@@ -119,7 +119,7 @@
     }
 
     /// Decides on an action as its key's owner.
-    pub(super) async fn begin_here(&self, asking: Asking) -> Decision {
+    pub(super) async fn begin_here(&self, asking: AttemptRequest) -> Decision {
         let shard = shard_of(&asking.key);
         let (reply, replied) = async_channel::bounded(1);
         let ticket = {
@@ -135,7 +135,7 @@
             ticket
         };
         self.wake();
-        let decided = within(REPLY_LIMIT, replied.recv()).await;
+        let decided = with_timeout(REPLY_LIMIT, replied.recv()).await;
         self.lock().begins.swap_remove(&ticket);
         match decided {
             Ok(Ok(decision)) => decision,
@@ -158,12 +158,12 @@
             let ticket = state.ticket();
             state.finishes.insert(ticket, reply);
             self.with_owner(&mut state, shard, |owner, known, out| {
-                owner.finish(known, ticket, &ending.key, &ending.attempt, ending.end, out);
+                owner.record_outcome(known, ticket, &ending.key, &ending.attempt, ending.end, out);
             });
             ticket
         };
         self.wake();
-        let recorded = within(RECORD_LIMIT, replied.recv()).await;
+        let recorded = with_timeout(RECORD_LIMIT, replied.recv()).await;
         self.lock().finishes.swap_remove(&ticket);
         matches!(recorded, Ok(Ok(true)))
     }
@@ -182,7 +182,7 @@
         if let Some(newest) = newest.filter(|newest| *newest > epoch)
             && let Some(owner) = state.owners.get_mut(&shard)
         {
-            owner.renew(newest);
+            owner.set_epoch(newest);
             state.renewing.swap_remove(&shard);
             state.voter_lives.swap_remove(&shard);
         }
@@ -192,7 +192,7 @@
             state.renewing.swap_remove(&shard);
             state.voter_lives.swap_remove(&shard);
             let mut out = Vec::new();
-            owner.depose(&mut out);
+            owner.step_down(&mut out);
             state.carry_out(out);
         }
         in_force
@@ -203,7 +203,7 @@
         &self,
         state: &mut State,
         shard: ShardId,
-        act: impl FnOnce(&mut Owner, KnownActions<'_>, &mut Vec<Effect>),
+        act: impl FnOnce(&mut Owner, OwnerContext<'_>, &mut Vec<Effect>),
     ) {
         let has_room = state.commit.has_room();
         let Some(owner) = state.owners.get_mut(&shard) else {
@@ -212,7 +212,7 @@
         let mut out = Vec::new();
         let (now, wall_ms) = (self.now(), wall_ms());
         self.folded().with(|fold| {
-            let known = KnownActions {
+            let known = OwnerContext {
                 now,
                 wall_ms,
                 actions: &fold.actions,
@@ -224,13 +224,13 @@
     }
 
     /// Tells owners what became of their items.
-    pub(super) fn committed(&self, state: &mut State, durable: &[Durable]) {
+    pub(super) fn committed(&self, state: &mut State, durable: &[CommitResult]) {
         for one in durable {
             let (shard, epoch) = one.lease();
             let owner = state.owners.get(&shard);
-            if owner.is_some_and(|owner| owner.held(epoch)) {
+            if owner.is_some_and(|owner| owner.has_held(epoch)) {
                 self.with_owner(state, shard, |owner, known, out| {
-                    owner.committed(known, one, out);
+                    owner.on_commit_result(known, one, out);
                 });
             }
         }
@@ -258,9 +258,9 @@
 }
 
 impl State {
-    fn ticket(&mut self) -> Ticket {
+    fn ticket(&mut self) -> CallId {
         self.next_ticket += 1;
-        Ticket(self.next_ticket)
+        CallId(self.next_ticket)
     }
 
     fn carry_out(&mut self, effects: Vec<Effect>) {
@@ -273,7 +273,7 @@
                         let _gone = reply.try_send(decision);
                     }
                 }
-                Effect::Recorded(ticket, recorded) => {
+                Effect::AckOutcome(ticket, recorded) => {
                     if let Some(reply) = self.finishes.swap_remove(&ticket) {
                         let _gone = reply.try_send(recorded);
                     }
--- a/crates/sesamecart-node/src/actions/renewal.rs
+++ b/crates/sesamecart-node/src/actions/renewal.rs
@@ -13,7 +13,7 @@
 use sesamecart_fold::{LeaseRecord, Record};
 use sesamecart_lease::choose_voters;
 use sesamecart_links::message::HeartbeatRequest;
-use sesamecart_runtime::{sleep, within};
+use sesamecart_runtime::{sleep, with_timeout};
 use sesamecart_vocabulary::{Incarnation, NodeId, ShardId, Timestamp};
 
 use super::desk::Desk;
@@ -73,7 +73,7 @@
             return false;
         };
         let mut client = self.peers.links().to(address);
-        let asked = within(WATCH_LIMIT, client.heartbeat(HeartbeatRequest::default())).await;
+        let asked = with_timeout(WATCH_LIMIT, client.heartbeat(HeartbeatRequest::default())).await;
         let receiver = asked.ok().and_then(Result::ok);
         let receiver = receiver.and_then(|reply| reply.into_inner().receiver);
         receiver.is_some_and(|member| member.node == node.as_str())
@@ -106,7 +106,7 @@
             let gathering = state
                 .owners
                 .get(&shard)
-                .is_none_or(|owner| owner.is_gathering());
+                .is_none_or(|owner| owner.is_recovering());
             // Only a lease in effect may change its voters: before that, its last holder may still
             // act on the promises of the old ones.
             let in_effect = self.shared.duties.owners().may_act(shard, now);
@@ -157,7 +157,7 @@
         let gathering = state
             .owners
             .get(&shard)
-            .is_none_or(|owner| owner.is_gathering());
+            .is_none_or(|owner| owner.is_recovering());
         if gathering || state.commit.is_mirrored(shard) {
             return false;
         }
@@ -181,7 +181,7 @@
             builds_on: Some(epoch),
             voters: choose_voters(shard, &self.directory.view(self.now())),
         };
-        let appended = within(APPEND_LIMIT, async {
+        let appended = with_timeout(APPEND_LIMIT, async {
             let offset = self.append_claim(shard, &record).await?;
             self.folded().applied(offset).await;
             Ok::<_, anyhow::Error>(())
--- a/crates/sesamecart-node/src/actions/takeover.rs
+++ b/crates/sesamecart-node/src/actions/takeover.rs
@@ -6,12 +6,12 @@
 
 use futures_util::future::join_all;
 use indexmap::IndexSet;
-use sesamecart_actions::{Gather, Gathered, Owner, OwnerConfig, VoterId};
+use sesamecart_actions::{IntentRecovery, Owner, OwnerConfig, VoterId, VoterReply};
 use sesamecart_fold::{ActionIntent, LeaseRecord, Record, State};
 use sesamecart_lease::choose_voters;
 use sesamecart_links::message::FetchMirrorsRequest;
-use sesamecart_runtime::{sleep, within};
-use sesamecart_vocabulary::{Epoch, NodeId, Offset, SHARDS, ShardId, Timestamp};
+use sesamecart_runtime::{sleep, with_timeout};
+use sesamecart_vocabulary::{Epoch, NodeId, Offset, SHARD_COUNT, ShardId, Timestamp};
 
 use super::commit::intents_of;
 use super::desk::Desk;
@@ -61,8 +61,8 @@
         if !ready {
             return;
         }
-        let first = self.next_free.fetch_add(SHARDS_PER_TICK, Ordering::Relaxed) % SHARDS;
-        for shard in (first..SHARDS).take(usize::from(SHARDS_PER_TICK)) {
+        let first = self.next_free.fetch_add(SHARDS_PER_TICK, Ordering::Relaxed) % SHARD_COUNT;
+        for shard in (first..SHARD_COUNT).take(usize::from(SHARDS_PER_TICK)) {
             if self.is_to_take(ShardId(shard)) {
                 self.take_over(ShardId(shard));
             }
@@ -88,7 +88,7 @@
             self.folded().applied(offset).await;
             Ok::<_, anyhow::Error>(offset)
         };
-        let offset = match within(CLAIM_LIMIT, appended).await {
+        let offset = match with_timeout(CLAIM_LIMIT, appended).await {
             Ok(offset) => offset?,
             Err(elapsed) => return Err(elapsed.into()),
         };
@@ -142,7 +142,7 @@
         let busy = state
             .owners
             .iter()
-            .filter(|(_, owner)| backlog || owner.under_way() > 0 || owner.is_gathering());
+            .filter(|(_, owner)| backlog || owner.in_flight_count() > 0 || owner.is_recovering());
         busy.map(|(shard, _)| *shard).collect()
     }
 
@@ -152,27 +152,27 @@
     async fn gather(&self, shard: ShardId, epoch: Epoch, last: Option<LeaseRecord>) {
         let last = last.filter(|lease| !lease.released);
         let mut gather = match last {
-            Some(lease) => Gather::new(lease.epoch, lease.voters),
-            None => Gather::new(Epoch(0), []),
+            Some(lease) => IntentRecovery::new(lease.epoch, lease.voters),
+            None => IntentRecovery::new(Epoch(0), []),
         };
         loop {
-            if let Some(intents) = gather.complete() {
+            if let Some(intents) = gather.recovered_intents() {
                 self.adopt(shard, intents);
                 return;
             }
-            let unheard: Vec<_> = gather.unheard().cloned().collect();
+            let unheard: Vec<_> = gather.pending_voters().cloned().collect();
             let asked = unheard
                 .iter()
                 .map(|voter| self.ask_voter(voter, shard, epoch));
             for (voter, told) in unheard.iter().zip(join_all(asked).await) {
                 if let Some(told) = told {
-                    gather.hear(voter, told);
+                    gather.record_reply(voter, told);
                 }
             }
             if !self.still_owns(shard) {
                 return;
             }
-            if gather.complete().is_none() {
+            if gather.recovered_intents().is_none() {
                 sleep(GATHER_REST).await;
             }
         }
@@ -188,7 +188,7 @@
     /// A node that started from a checkpoint doesn't know the keyed actions before it; it refuses
     /// keys that it never heard of, since one of them may have run.
     fn adopt(&self, shard: ShardId, intents: Vec<ActionIntent>) {
-        let complete = self.folded().with(State::knows_actions);
+        let complete = self.folded().with(State::has_all_actions);
         if !complete {
             log::warn!("actions: shard {shard} refuses new keys, since older ones aren't known.");
         }
@@ -196,14 +196,14 @@
             let mut state = self.lock();
             if self.owns(&mut state, shard) {
                 self.with_owner(&mut state, shard, |owner, known, out| {
-                    owner.adopt(known, intents, complete, out);
+                    owner.complete_takeover(known, intents, complete, out);
                 });
             }
         }
         self.wake();
     }
 
-    async fn ask_voter(&self, voter: &VoterId, shard: ShardId, epoch: Epoch) -> Option<Gathered> {
+    async fn ask_voter(&self, voter: &VoterId, shard: ShardId, epoch: Epoch) -> Option<VoterReply> {
         let req = FetchMirrorsRequest {
             shard: u32::from(shard.0),
             epoch: epoch.0,
@@ -212,7 +212,7 @@
             self.tell_mirrors(&req)
         } else {
             let mut client = self.peers.links().to(self.directory.address(voter)?);
-            let reply = within(GATHER_CALL_LIMIT, client.fetch_mirrors(req)).await;
+            let reply = with_timeout(GATHER_CALL_LIMIT, client.fetch_mirrors(req)).await;
             reply.ok()?.ok()?.into_inner()
         };
         if !reply.applied {
@@ -222,8 +222,8 @@
         let Record::ActionBatch { parts } = envelope.record else {
             return None;
         };
-        Some(Gathered {
-            settled_from: Offset(reply.settled_from),
+        Some(VoterReply {
+            log_tail_at_start: Offset(reply.settled_from),
             intents: intents_of(&parts).cloned().collect(),
         })
     }
@@ -232,7 +232,7 @@
     ///
     /// Returns whether that was so within the limit; without it the next owners ask the voters.
     pub(crate) async fn leave(&self, limit: Duration) -> bool {
-        let settled = within(limit, async {
+        let settled = with_timeout(limit, async {
             while self.untold() > 0 {
                 sleep(GATHER_REST).await;
             }
@@ -254,6 +254,10 @@
 
     fn is_settled(&self) -> bool {
         let state = self.lock();
-        state.commit.backlog() == 0 && state.owners.values().all(|owner| owner.under_way() == 0)
+        state.commit.backlog() == 0
+            && state
+                .owners
+                .values()
+                .all(|owner| owner.in_flight_count() == 0)
     }
 }
--- a/crates/sesamecart-node/src/actions/voter.rs
+++ b/crates/sesamecart-node/src/actions/voter.rs
@@ -31,7 +31,7 @@
         let in_force = self.in_force(shard);
         state
             .mirrors
-            .keep(shard, Epoch(req.epoch), in_force, &intents)
+            .store(shard, Epoch(req.epoch), in_force, &intents)
     }
 
     /// Tells a claimant what earlier owners left here, once this node has applied its claim.
@@ -41,7 +41,10 @@
         };
         let state = self.lock();
         let claim = Epoch(req.epoch);
-        let Some(gathered) = state.mirrors.gather(shard, claim, self.in_force(shard)) else {
+        let Some(gathered) = state
+            .mirrors
+            .reply_to_claim(shard, claim, self.in_force(shard))
+        else {
             return FetchMirrorsReply::default();
         };
         let part = ActionPart {
@@ -52,7 +55,7 @@
         };
         FetchMirrorsReply {
             applied: true,
-            settled_from: gathered.settled_from.0,
+            settled_from: gathered.log_tail_at_start.0,
             record: Record::ActionBatch { parts: vec![part] }.encode(),
         }
     }
--- a/crates/sesamecart-node/src/actions/wire.rs
+++ b/crates/sesamecart-node/src/actions/wire.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use sesamecart_actions::{Answer, Asking, Decision, RefusalReason};
+use sesamecart_actions::{Answer, AttemptRequest, Decision, RefusalReason};
 use sesamecart_fold::{ActionEnd, ActionKey, EncodedBody, Header as KeptHeader};
 use sesamecart_links::message::begin_action_reply::Decision as WireDecision;
 use sesamecart_links::message::finish_action_request::Outcome as WireOutcome;
@@ -26,7 +26,11 @@
     u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
 
-pub(crate) fn begin_request(asking: &Asking, node: &NodeId, now: Timestamp) -> BeginActionRequest {
+pub(crate) fn begin_request(
+    asking: &AttemptRequest,
+    node: &NodeId,
+    now: Timestamp,
+) -> BeginActionRequest {
     BeginActionRequest {
         customer: asking.key.customer.to_string(),
         service: asking.key.service.to_string(),
@@ -34,12 +38,15 @@
         body_digest: asking.body_digest.to_string(),
         attempt: asking.attempt.to_string(),
         node: node.to_string(),
-        deadline_ms: millis(asking.until - now),
+        deadline_ms: millis(asking.deadline - now),
     }
 }
 
-pub(crate) fn asking(req: &BeginActionRequest, now: Timestamp) -> Result<Asking, BadMessage> {
-    Ok(Asking {
+pub(crate) fn asking(
+    req: &BeginActionRequest,
+    now: Timestamp,
+) -> Result<AttemptRequest, BadMessage> {
+    Ok(AttemptRequest {
         key: ActionKey {
             customer: read("customer", &req.customer)?,
             service: read("service", &req.service)?,
@@ -47,7 +54,7 @@
         },
         body_digest: read("body_digest", &req.body_digest)?,
         attempt: read("attempt", &req.attempt)?,
-        until: now + Duration::from_millis(req.deadline_ms),
+        deadline: now + Duration::from_millis(req.deadline_ms),
     })
 }
 
--- a/crates/sesamecart-node/src/administration.rs
+++ b/crates/sesamecart-node/src/administration.rs
@@ -21,7 +21,7 @@
 /// Bounds on operators' connections; there are few operators, so they are tight.
 const LIMITS: ServerLimits = ServerLimits {
     max_connections: 128,
-    head_limit: Duration::from_secs(10),
+    head_timeout: Duration::from_secs(10),
     max_head_bytes: 32 * 1024,
 };
 
--- a/crates/sesamecart-node/src/administration/change.rs
+++ b/crates/sesamecart-node/src/administration/change.rs
@@ -5,8 +5,8 @@
 
 use sesamecart_administration::{ChangeOutcome, ErrorCode, ErrorReply};
 use sesamecart_edges::{Log, LogError};
-use sesamecart_fold::{PROVISIONAL_LIMIT, PublishVerdict, Record};
-use sesamecart_runtime::{sleep, within};
+use sesamecart_fold::{PROVISIONAL_DRAIN_TTL, PublishVerdict, Record};
+use sesamecart_runtime::{sleep, with_timeout};
 use sesamecart_vocabulary::PublishId;
 
 use crate::control::Peers;
@@ -126,7 +126,7 @@
         {
             return Ok(ChangeOutcome::Decided(verdict));
         }
-        self.shared.take_provisional(&data, PROVISIONAL_LIMIT);
+        self.shared.take_provisional(&data, PROVISIONAL_DRAIN_TTL);
         self.peers.ask_all().await;
         self.outcome(publish_id)
             .ok_or_else(|| unavailable("there are too many provisional drains"))
@@ -156,12 +156,12 @@
     }
 
     async fn append(&self, data: &[u8], limit: Duration) -> Append {
-        match within(limit, self.log.append(data.to_vec().into())).await {
+        match with_timeout(limit, self.log.append(data.to_vec().into())).await {
             Ok(Ok(_)) => Append::Kept,
-            Ok(Err(error @ (LogError::Refused { .. } | LogError::NotReached { .. }))) => {
+            Ok(Err(error @ (LogError::Refused { .. } | LogError::NotSent { .. }))) => {
                 Append::Refused(error.to_string())
             }
-            Ok(Err(error @ LogError::NoAnswer { .. })) => Append::Unknown(error.to_string()),
+            Ok(Err(error @ LogError::NoResponse { .. })) => Append::Unknown(error.to_string()),
             Err(elapsed) => Append::Unknown(format!("log append: {elapsed}")),
         }
     }
--- a/crates/sesamecart-node/src/administration/handler.rs
+++ b/crates/sesamecart-node/src/administration/handler.rs
@@ -14,7 +14,7 @@
     ErrorCode, ErrorReply, PublishRequest, RateLimiter, Route, RouteError, Scope, openapi,
 };
 use sesamecart_config::{ChangeRules, Configuration, Operator, Problem, ProblemReport};
-use sesamecart_edges::{CallerBody, ReadBodyError, read_whole, whole};
+use sesamecart_edges::{CallerBody, ReadBodyError, read_body, whole};
 use sesamecart_fold::{PublishVerdict, Record};
 use sesamecart_runtime::sleep;
 use sesamecart_vocabulary::{Bytes, PublishId, Revision};
@@ -330,7 +330,7 @@
 
 async fn read_json<T: DeserializeOwned>(req: Request<Incoming>) -> Result<T, ErrorReply> {
     let bad = |message: String| ErrorReply::new(ErrorCode::BadRequest, message);
-    let body = read_whole(req.into_body(), MAX_BODY, BODY_LIMIT).await;
+    let body = read_body(req.into_body(), MAX_BODY, BODY_LIMIT).await;
     let body = body.map_err(|error: ReadBodyError| bad(error.to_string()))?;
     serde_json::from_slice(&body).map_err(|error| bad(format!("the body can't be read: {error}")))
 }
--- a/crates/sesamecart-node/src/bin/sesamecart-node.rs
+++ b/crates/sesamecart-node/src/bin/sesamecart-node.rs
@@ -10,7 +10,7 @@
 use sesamecart_config::Settings;
 use sesamecart_entry::EntrySettings;
 use sesamecart_node::Node;
-use sesamecart_runtime::{LogFormat, Signal, start_logs};
+use sesamecart_runtime::{LogFormat, Signal, init_logging};
 use sesamecart_vocabulary::NodeId;
 
 /// The exit status for settings or arguments that can't be used.
@@ -82,7 +82,7 @@
     if arguments.check {
         return Ok(good_settings(path, &settings.node));
     }
-    start_logs(arguments.log_format, arguments.log_level)?;
+    init_logging(arguments.log_format, arguments.log_level)?;
     let cut_off = sesamecart_entry::run(path, settings)?;
     Ok(exit_code(cut_off))
 }
@@ -114,7 +114,7 @@
     log_format: LogFormat,
     log_level: log::LevelFilter,
 ) -> anyhow::Result<usize> {
-    start_logs(log_format, log_level)?;
+    init_logging(log_format, log_level)?;
     let mut signals = Signals::new([SystemSignal::Term, SystemSignal::Int])?;
     let node = Node::start(settings)?;
     let (hurry, hurried) = Signal::new();
@@ -123,7 +123,7 @@
         // A second signal ends the wait for requests in flight.
         let second = async {
             signals.next().await;
-            hurry.give();
+            hurry.set();
             future::pending().await
         };
         Ok(future::or(node.leave(&hurried), second).await)
--- a/crates/sesamecart-node/src/control/folded.rs
+++ b/crates/sesamecart-node/src/control/folded.rs
@@ -7,8 +7,8 @@
 use async_channel::Sender;
 use sesamecart_edges::{LogPage, LoggedRecord};
 use sesamecart_fold::{
-    AppliedAt, CheckpointError, LogReader, PageBounds, PageRead, ProvisionalDrains,
-    ProvisionalError, RawRecord, Record, Standing, State,
+    AppliedRecord, CheckpointError, LogReader, PageBounds, PageOutcome, ProvisionalDrains,
+    ProvisionalError, RawRecord, ReaderStatus, Record, State,
 };
 use sesamecart_vocabulary::{Offset, Timestamp};
 
@@ -35,7 +35,7 @@
     log_answers: bool,
     /// When the log last answered.
     log_answered_at: Timestamp,
-    standing: Option<Standing>,
+    standing: Option<ReaderStatus>,
     /// The log's tail when this process first read it.
     settled_from: Option<Offset>,
     /// Who waits for a record to be applied; dropping a sender ends its wait.
@@ -76,12 +76,12 @@
 
     /// Returns the whole state as a record for another node.
     pub(crate) fn hand_over(&self) -> Record {
-        self.lock().reader.fold().hand_over()
+        self.lock().reader.fold().checkpoint_with_actions()
     }
 
     /// Returns the offset to read from next.
     pub(crate) fn wants(&self) -> Offset {
-        self.lock().reader.wants()
+        self.lock().reader.next_read_offset()
     }
 
     /// Returns whether the last read of the log was answered.
@@ -97,7 +97,7 @@
         }
     }
 
-    pub(crate) fn note_standing(&self, standing: Standing) {
+    pub(crate) fn note_standing(&self, standing: ReaderStatus) {
         self.lock().standing = Some(standing);
     }
 
@@ -107,11 +107,11 @@
     pub(crate) fn needs_peers(&self, silence: Duration, now: Timestamp) -> bool {
         let inner = self.lock();
         let is_silent = now - inner.log_answered_at > silence;
-        is_silent || !inner.log_answers || inner.standing == Some(Standing::Stranded)
+        is_silent || !inner.log_answers || inner.standing == Some(ReaderStatus::NoCheckpoint)
     }
 
     /// Folds a page of the log.
-    pub(crate) fn take_page(&self, page: &LogPage) -> PageRead {
+    pub(crate) fn take_page(&self, page: &LogPage) -> PageOutcome {
         let mut inner = self.lock();
         let bounds = PageBounds {
             first: page.first,
@@ -119,7 +119,7 @@
         };
         let read = inner.reader.take(bounds, page.records.iter().map(raw));
         inner.recent.keep(&page.records, &read.applied);
-        if read.standing == Standing::AtTail {
+        if read.status == ReaderStatus::AtTail {
             let next = inner.reader.fold().state().next_offset;
             inner.settled_from.get_or_insert(next);
         }
@@ -128,9 +128,9 @@
     }
 
     /// Folds records that another node passed on.
-    pub(crate) fn take_from_peer(&self, records: &[LoggedRecord]) -> Vec<AppliedAt> {
+    pub(crate) fn take_from_peer(&self, records: &[LoggedRecord]) -> Vec<AppliedRecord> {
         let mut inner = self.lock();
-        let applied = inner.reader.take_from_peer(records.iter().map(raw));
+        let applied = inner.reader.apply_peer_records(records.iter().map(raw));
         inner.recent.keep(records, &applied);
         inner.wake();
         applied
@@ -210,7 +210,7 @@
 
 impl Recent {
     /// Keeps the records that were applied.
-    fn keep(&mut self, records: &[LoggedRecord], applied: &[AppliedAt]) {
+    fn keep(&mut self, records: &[LoggedRecord], applied: &[AppliedRecord]) {
         let (Some(first), Some(last)) = (applied.first(), applied.last()) else {
             return;
         };
--- a/crates/sesamecart-node/src/control/follower.rs
+++ b/crates/sesamecart-node/src/control/follower.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use sesamecart_edges::{Log, LogError, LogPage};
-use sesamecart_fold::{Applied, AppliedAt, Standing};
+use sesamecart_fold::{Applied, AppliedRecord, ReaderStatus};
 use sesamecart_runtime::sleep;
 use sesamecart_vocabulary::{Offset, Timestamp};
 
@@ -23,7 +23,7 @@
 pub(crate) struct Follower {
     shared: Arc<Shared>,
     log: Arc<dyn Log>,
-    standing: Standing,
+    standing: ReaderStatus,
 }
 
 impl Follower {
@@ -31,7 +31,7 @@
         Self {
             shared,
             log,
-            standing: Standing::Behind,
+            standing: ReaderStatus::Behind,
         }
     }
 
@@ -44,7 +44,10 @@
                 Ok(page) => {
                     self.note_success();
                     self.take_page(&page, begun);
-                    if matches!(self.standing, Standing::Stranded | Standing::Ahead) {
+                    if matches!(
+                        self.standing,
+                        ReaderStatus::NoCheckpoint | ReaderStatus::LogOutdated
+                    ) {
                         sleep(FAILURE_REST).await;
                     }
                 }
@@ -67,25 +70,25 @@
             self.shared.note_leases(&[], &[]);
             self.shared.refresh_snapshot();
         }
-        self.note_standing(read.standing);
-        if read.standing == Standing::AtTail {
+        self.note_standing(read.status);
+        if read.status == ReaderStatus::AtTail {
             self.shared.duties.on_tail(begun, self.shared.clock.now());
             self.shared.note_heard(begun);
         }
     }
 
-    fn note_standing(&mut self, standing: Standing) {
+    fn note_standing(&mut self, standing: ReaderStatus) {
         let is_news = standing != self.standing;
         self.standing = standing;
         self.shared.folded.note_standing(standing);
         match standing {
-            Standing::Seeking if is_news => {
+            ReaderStatus::SeekingCheckpoint if is_news => {
                 log::warn!("fold: the log has forgotten records; looking for a checkpoint.");
             }
-            Standing::Ahead if is_news => {
+            ReaderStatus::LogOutdated if is_news => {
                 log::warn!("fold: the log's answer ends before what this node has read.");
             }
-            Standing::Stranded if is_news => {
+            ReaderStatus::NoCheckpoint if is_news => {
                 log::error!("fold: the log holds no checkpoint that helps; asking other nodes.");
             }
             _ => {}
@@ -111,8 +114,8 @@
 
 impl Shared {
     /// Tells what records did and shows the traffic threads the new state.
-    pub(crate) fn note_applied(&self, applied: &[AppliedAt]) {
-        for AppliedAt { offset, applied } in applied {
+    pub(crate) fn note_applied(&self, applied: &[AppliedRecord]) {
+        for AppliedRecord { offset, applied } in applied {
             report(*offset, applied);
         }
         let settled = self.folded.settle_drains(self.clock.now());
@@ -135,7 +138,7 @@
         | Applied::Outcomes { .. }
         | Applied::ActionBatch { .. }
         | Applied::Checkpointed { .. }
-        | Applied::Before
+        | Applied::AlreadyApplied
         | Applied::Gap { .. } => false,
         Applied::Published { .. }
         | Applied::Drained { .. }
--- a/crates/sesamecart-node/src/control/peer_follower.rs
+++ b/crates/sesamecart-node/src/control/peer_follower.rs
@@ -7,7 +7,7 @@
 use sesamecart_fold::{Record, State};
 use sesamecart_links::Request;
 use sesamecart_links::message::{FetchRecordsRequest, FetchStateRequest};
-use sesamecart_runtime::{sleep, within};
+use sesamecart_runtime::{sleep, with_timeout};
 use sesamecart_vocabulary::{Offset, Timestamp};
 
 use crate::control::peers::{PEER_LIMIT, Peer, PeerView, Peers};
@@ -58,7 +58,7 @@
             let now = self.shared.clock.now();
             if self.shared.folded.needs_peers(silence, now) {
                 self.ask_peers().await;
-            } else if !self.shared.folded.with(State::knows_actions) {
+            } else if !self.shared.folded.with(State::has_all_actions) {
                 self.learn_actions().await;
             }
         }
@@ -96,7 +96,7 @@
             limit: READ_LIMIT,
         };
         let mut link = self.peers.links().to(peer.address);
-        let fetched = within(PEER_LIMIT, link.fetch_records(Request::new(request))).await;
+        let fetched = with_timeout(PEER_LIMIT, link.fetch_records(Request::new(request))).await;
         let Ok(Ok(reply)) = fetched else {
             return false;
         };
@@ -139,7 +139,7 @@
 
     async fn adopt_from(&self, peer: &Peer, begun: Timestamp) {
         let mut link = self.peers.links().to(peer.address);
-        let fetched = within(
+        let fetched = with_timeout(
             STATE_LIMIT,
             link.fetch_state(Request::new(FetchStateRequest {})),
         );
--- a/crates/sesamecart-node/src/control/peers.rs
+++ b/crates/sesamecart-node/src/control/peers.rs
@@ -10,7 +10,7 @@
 use sesamecart_links::message::{HeartbeatReply, HeartbeatRequest, Member, ProvisionalDrain};
 use sesamecart_links::{Links, Request};
 use sesamecart_membership::Standing;
-use sesamecart_runtime::within;
+use sesamecart_runtime::with_timeout;
 use sesamecart_vocabulary::{FailureDomainId, Incarnation, NodeId, Offset, Revision, Timestamp};
 
 use crate::shared::Shared;
@@ -150,7 +150,7 @@
     async fn ask(&self, peer: Peer) -> PeerView {
         let mut link = self.links.to(peer.address);
         let request = Request::new(self.shared.heartbeat_request());
-        let answered = within(PEER_LIMIT, link.heartbeat(request)).await;
+        let answered = with_timeout(PEER_LIMIT, link.heartbeat(request)).await;
         let reply = answered.ok().and_then(Result::ok);
         let standing = reply.map(|reply| {
             let reply = reply.into_inner();
--- a/crates/sesamecart-node/src/control/upkeep.rs
+++ b/crates/sesamecart-node/src/control/upkeep.rs
@@ -6,7 +6,7 @@
 
 use sesamecart_edges::tls::{Reload, TlsServer, UnixTime};
 use sesamecart_edges::{Log, VmList};
-use sesamecart_fold::{CheckpointPace, CheckpointSchedule, State};
+use sesamecart_fold::{CheckpointInterval, CheckpointSchedule, State};
 use sesamecart_runtime::sleep;
 use sesamecart_vocabulary::{ShardId, stable_hash};
 
@@ -46,7 +46,7 @@
 /// Writes checkpoints before the log forgets the last one.
 pub(crate) async fn write_checkpoints(shared: Arc<Shared>, log: Arc<dyn Log>) {
     let settings = &shared.settings.log;
-    let pace = CheckpointPace {
+    let pace = CheckpointInterval {
         every: Duration::from_millis(settings.checkpoint_ms),
         records: settings.checkpoint_records,
     };
--- a/crates/sesamecart-node/src/duties.rs
+++ b/crates/sesamecart-node/src/duties.rs
@@ -14,9 +14,9 @@
 use arc_swap::ArcSwap;
 use sesamecart_config::Settings;
 use sesamecart_edges::LogError;
-use sesamecart_lease::{Holder, LeaseSettings, Leases, NodeState, NodeView, Owners, View};
+use sesamecart_lease::{Holder, LeaseSettings, Leases, NodeState, NodeView, OwnerSnapshot, View};
 use sesamecart_membership::{Member, Membership, MembershipSettings, Seed, Standing, Status};
-use sesamecart_vocabulary::{Incarnation, NodeId, SHARDS, ShardId, Timestamp, stable_hash};
+use sesamecart_vocabulary::{Incarnation, NodeId, SHARD_COUNT, ShardId, Timestamp, stable_hash};
 
 use crate::control::Peer;
 pub(crate) use crate::duties::runner::Runner;
@@ -34,7 +34,7 @@
 #[derive(Debug)]
 pub(crate) struct Duties {
     state: Mutex<State>,
-    owners: ArcSwap<Owners>,
+    owners: ArcSwap<OwnerSnapshot>,
 }
 
 #[derive(Debug)]
@@ -70,10 +70,10 @@
             incarnation: identity.incarnation,
         };
         let settings = LeaseSettings {
-            handover_hold: NEVER,
+            handover_delay: NEVER,
             ..LeaseSettings::default()
         };
-        let leases = Leases::new(holder, SHARDS, settings, now)?;
+        let leases = Leases::new(holder, SHARD_COUNT, settings, now)?;
         Ok(Self {
             state: Mutex::new(State { membership, leases }),
             owners: ArcSwap::default(),
@@ -81,14 +81,14 @@
     }
 
     /// Returns who owns which shard.
-    pub(crate) fn owners(&self) -> Arc<Owners> {
+    pub(crate) fn owners(&self) -> Arc<OwnerSnapshot> {
         self.owners.load_full()
     }
 
     /// A read of the log that began at `begun` reached the tail.
     pub(crate) fn on_tail(&self, begun: Timestamp, now: Timestamp) {
         let mut state = self.lock();
-        state.leases.on_tail(begun, now);
+        state.leases.on_tail_read(begun, now);
         self.publish(&state);
     }
 
@@ -103,7 +103,7 @@
     pub(crate) fn claim_failed(&self, shard: ShardId, error: &anyhow::Error) {
         let refused = matches!(
             error.downcast_ref::<LogError>(),
-            Some(LogError::Refused { .. } | LogError::NotReached { .. })
+            Some(LogError::Refused { .. } | LogError::NotSent { .. })
         );
         if refused {
             self.lock().leases.append_refused(shard);
--- a/crates/sesamecart-node/src/duties/records.rs
+++ b/crates/sesamecart-node/src/duties/records.rs
@@ -1,8 +1,8 @@
 //! Claims and releases on their way from the folded log to the leases.
 
 use sesamecart_edges::LoggedRecord;
-use sesamecart_fold::{Applied, AppliedAt, Record};
-use sesamecart_lease::{ClaimSeen, Holder, LeaseSeen, ReleaseSeen};
+use sesamecart_fold::{Applied, AppliedRecord, Record};
+use sesamecart_lease::{ClaimRecord, Holder, LeaseState, ReleaseRecord};
 use sesamecart_vocabulary::{Epoch, Timestamp};
 
 use super::State;
@@ -14,7 +14,7 @@
     /// The records themselves are read once more, since each claim in between matters: a claimant
     /// must ask the voters of the lease directly before its own. What a checkpoint brought is taken
     /// from the folded state at the end.
-    pub(crate) fn note_leases(&self, records: &[LoggedRecord], applied: &[AppliedAt]) {
+    pub(crate) fn note_leases(&self, records: &[LoggedRecord], applied: &[AppliedRecord]) {
         let now = self.clock.now();
         let mut state = self.duties.lock();
         let mut has_leases = applied.is_empty();
@@ -31,7 +31,7 @@
             return;
         }
         let leases = self.folded.with(|fold| {
-            let leases = fold.leases.iter().map(|(shard, lease)| LeaseSeen {
+            let leases = fold.leases.iter().map(|(shard, lease)| LeaseState {
                 shard: *shard,
                 epoch: lease.epoch,
                 holder: Holder {
@@ -67,7 +67,7 @@
                 builds_on,
                 voters,
             } => {
-                let claim = ClaimSeen {
+                let claim = ClaimRecord {
                     shard,
                     epoch: Epoch(record.offset.0),
                     holder: Holder {
@@ -80,7 +80,7 @@
                 self.leases.on_claim(&claim, now);
             }
             Record::Release { shard, epoch, .. } => {
-                self.leases.on_release(ReleaseSeen { shard, epoch });
+                self.leases.on_release(ReleaseRecord { shard, epoch });
             }
             _ => {}
         }
--- a/crates/sesamecart-node/src/duties/runner.rs
+++ b/crates/sesamecart-node/src/duties/runner.rs
@@ -6,11 +6,11 @@
 
 use sesamecart_edges::Log;
 use sesamecart_fold::Record;
-use sesamecart_lease::{Effect, ReleaseSeen, View, Vote, VoteAnswer, VotePurpose};
+use sesamecart_lease::{Effect, ReleaseRecord, View, Vote, VoteAnswer, VotePurpose};
 use sesamecart_links::Request;
 use sesamecart_links::message::{HeartbeatRequest, VoteRequest};
 use sesamecart_membership::Probe;
-use sesamecart_runtime::{Tasks, sleep, within};
+use sesamecart_runtime::{Tasks, sleep, with_timeout};
 use sesamecart_vocabulary::{NodeId, Timestamp};
 
 use super::wire::to_wire;
@@ -94,7 +94,7 @@
             members: probe.message.members.iter().map(to_wire).collect(),
             ..self.shared.heartbeat_request()
         };
-        let answered = within(CALL_LIMIT, link.heartbeat(Request::new(request))).await;
+        let answered = with_timeout(CALL_LIMIT, link.heartbeat(Request::new(request))).await;
         let now = self.shared.clock.now();
         match answered {
             Ok(Ok(reply)) => {
@@ -145,7 +145,7 @@
                 }
             }
             Effect::AppendRelease(release) => self.tasks.spawn(self.caller().release(release)),
-            Effect::AskVote { to, vote } => {
+            Effect::RequestVote { to, vote } => {
                 if let Some(address) = self.address(&to) {
                     self.tasks.spawn(self.caller().ask(to, address, vote));
                 }
@@ -167,8 +167,8 @@
             .map(|(member, _)| member.address)
     }
 
-    async fn release(self, release: ReleaseSeen) {
-        let ReleaseSeen { shard, epoch } = release;
+    async fn release(self, release: ReleaseRecord) {
+        let ReleaseRecord { shard, epoch } = release;
         let record = Record::Release {
             shard,
             holder: self.shared.identity.node.clone(),
@@ -189,7 +189,7 @@
                 VotePurpose::Applied => None,
             },
         };
-        let Ok(Ok(reply)) = within(CALL_LIMIT, link.vote(Request::new(request))).await else {
+        let Ok(Ok(reply)) = with_timeout(CALL_LIMIT, link.vote(Request::new(request))).await else {
             return;
         };
         let answer = VoteAnswer {
--- a/crates/sesamecart-node/src/groups/carry.rs
+++ b/crates/sesamecart-node/src/groups/carry.rs
@@ -9,10 +9,10 @@
 use http_body_util::Full;
 use serde::Deserialize;
 use serde_json::{Value, json};
-use sesamecart_edges::{HttpClient, Log, Reuse, WeightStore, WeightStoreError, read_whole};
+use sesamecart_edges::{HttpClient, Log, Reuse, WeightStore, WeightStoreError, read_body};
 use sesamecart_fold::Record;
 use sesamecart_groups::{AssignmentRequest, Event, FencedOrder, OrderAnswer, OrderKind};
-use sesamecart_runtime::within;
+use sesamecart_runtime::with_timeout;
 use sesamecart_vocabulary::{Bytes as ByteSize, EndpointId, Epoch, GroupId, ModelId, VmId};
 
 use super::fleet::assignments_of;
@@ -63,7 +63,7 @@
                 return None;
             }
         };
-        within(VERDICT_LIMIT, self.shared.folded.applied(offset))
+        with_timeout(VERDICT_LIMIT, self.shared.folded.applied(offset))
             .await
             .ok()?;
         let settled = self
@@ -140,7 +140,7 @@
         if status.is_success() {
             return OrderAnswer::Taken;
         }
-        let body = read_whole(exchange.response.into_body(), MAX_ANSWER, ORDER_LIMIT).await;
+        let body = read_body(exchange.response.into_body(), MAX_ANSWER, ORDER_LIMIT).await;
         match body.map(|body| serde_json::from_slice::<StaleOrder>(&body)) {
             Ok(Ok(stale)) if status == StatusCode::CONFLICT => {
                 OrderAnswer::Fenced(stale.newest_epoch)
@@ -161,7 +161,7 @@
                 bytes: transfer.bytes,
                 done_after: Duration::from_millis(transfer.done_after_ms),
             },
-            Err(WeightStoreError::OutOfRate { .. }) => LoadStep::OutOfRate,
+            Err(WeightStoreError::RateLimited { .. }) => LoadStep::OutOfRate,
             Err(error) => {
                 log::warn!("groups: {error}.");
                 LoadStep::Failed
--- a/crates/sesamecart-node/src/node.rs
+++ b/crates/sesamecart-node/src/node.rs
@@ -167,26 +167,26 @@
         let settings = &self.shared.settings;
         log::info!("node: {} leaves.", settings.node);
         wait_until(Duration::from_millis(settings.balancer_delay_ms), || {
-            hurry.is_given()
+            hurry.is_set()
         })
         .await;
-        self.leave.give();
+        self.leave.set();
         let limit = Duration::from_millis(settings.leave_limit_ms);
         wait_until(limit, || {
-            self.shared.connections.open() == 0 || hurry.is_given()
+            self.shared.connections.open() == 0 || hurry.is_set()
         })
         .await;
-        if !hurry.is_given() {
+        if !hurry.is_set() {
             let settled = future::or(self.desk.leave(limit), async {
                 hurry.wait().await;
                 false
             });
             settled.await;
         }
-        if !hurry.is_given() {
+        if !hurry.is_set() {
             self.shared.duties.leave();
             let limit = LEASE_LIMIT.min(limit);
-            wait_until(limit, || self.shared.duties.is_empty() || hurry.is_given()).await;
+            wait_until(limit, || self.shared.duties.is_empty() || hurry.is_set()).await;
         }
         let cut_off = self.shared.connections.open();
         if cut_off > 0 {
--- a/crates/sesamecart-node/src/pools/borrower.rs
+++ b/crates/sesamecart-node/src/pools/borrower.rs
@@ -10,7 +10,7 @@
 use sesamecart_links::message::{
     BorrowPermitsReply, BorrowPermitsRequest, EndpointDemand, EndpointSlice,
 };
-use sesamecart_runtime::{Tasks, within};
+use sesamecart_runtime::{Tasks, with_timeout};
 use sesamecart_vocabulary::{EndpointId, NodeId, Permits, Timestamp};
 
 use super::cell::PoolCell;
@@ -129,7 +129,7 @@
         };
         let mut link = self.links.to(address);
         let limit = self.pools.cfg().allowance.borrow_timeout();
-        let reply = within(limit, link.borrow_permits(errand.request.clone())).await;
+        let reply = with_timeout(limit, link.borrow_permits(errand.request.clone())).await;
         let reply = reply.ok().and_then(Result::ok);
         self.owners
             .note(&errand.owner, reply.is_some(), self.pools.now());
--- a/crates/sesamecart-node/src/pools/owners.rs
+++ b/crates/sesamecart-node/src/pools/owners.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use sesamecart_vocabulary::{
-    EndpointId, NodeId, SHARDS, ShardId, Timestamp, rendezvous_weight_of, stable_hash,
+    EndpointId, NodeId, SHARD_COUNT, ShardId, Timestamp, rendezvous_weight_of, stable_hash,
 };
 
 use crate::actions::Directory;
@@ -108,5 +108,5 @@
         let weight = |place: &usize| rendezvous_weight_of(key, hashes[*place]);
         (0..nodes.len()).max_by_key(weight).unwrap_or_default()
     };
-    (0..SHARDS).map(owner).collect()
+    (0..SHARD_COUNT).map(owner).collect()
 }
--- a/crates/sesamecart-node/src/shared.rs
+++ b/crates/sesamecart-node/src/shared.rs
@@ -7,8 +7,8 @@
 use arc_swap::ArcSwap;
 use sesamecart_config::Settings;
 use sesamecart_edges::Connections;
-use sesamecart_lease::Owners;
-use sesamecart_runtime::{ByteCount, Clock};
+use sesamecart_lease::OwnerSnapshot;
+use sesamecart_runtime::{ByteCounters, Clock};
 use sesamecart_vocabulary::{Epoch, ShardId, Timestamp};
 
 use crate::control::Folded;
@@ -49,7 +49,7 @@
     /// The callers' open connections.
     pub connections: Connections,
     /// The bytes that passed over links.
-    pub link_bytes: ByteCount,
+    pub link_bytes: ByteCounters,
     /// The keyed actions that this node was allowed to send and whose end isn't recorded yet.
     pub untold_ends: AtomicUsize,
     heard_at: AtomicU64,
@@ -80,7 +80,7 @@
             gate: Gate::new(&metrics),
             metrics,
             connections: Connections::default(),
-            link_bytes: ByteCount::default(),
+            link_bytes: ByteCounters::default(),
             untold_ends: AtomicUsize::new(0),
             heard_at: AtomicU64::new(0),
             settled: AtomicBool::new(false),
@@ -102,7 +102,7 @@
 
     /// Returns who owns which shard, as this node knows it.
     #[must_use]
-    pub fn owners(&self) -> Arc<Owners> {
+    pub fn owners(&self) -> Arc<OwnerSnapshot> {
         self.duties.owners()
     }
 
--- a/crates/sesamecart-node/src/traffic/forward.rs
+++ b/crates/sesamecart-node/src/traffic/forward.rs
@@ -9,7 +9,7 @@
 use http_body_util::Full;
 use sesamecart_edges::{
     ACTION, ATTEMPT, ClientError, DEADLINE_MS, EPOCH, Exchange, GENERATION, HttpClient,
-    IDEMPOTENCY_KEY, NOT_RUN, PRIORITY, REQUEST, RESUME_AT, Reuse, Sent,
+    IDEMPOTENCY_KEY, NOT_RUN, PRIORITY, REQUEST, RESUME_AT, Reuse, SendStatus,
 };
 use sesamecart_vocabulary::{AttemptId, Epoch, Generation, IdempotencyKey, Priority, RequestId};
 
@@ -59,8 +59,8 @@
 impl From<ClientError> for AttemptError {
     fn from(error: ClientError) -> Self {
         match error.sent {
-            Sent::Nothing => Self::NotRun(error.to_string()),
-            Sent::Maybe => Self::Unknown(error.to_string()),
+            SendStatus::Nothing => Self::NotRun(error.to_string()),
+            SendStatus::PossiblySent => Self::Unknown(error.to_string()),
         }
     }
 }
--- a/crates/sesamecart-node/src/traffic/handler.rs
+++ b/crates/sesamecart-node/src/traffic/handler.rs
@@ -9,7 +9,7 @@
 use http::{HeaderValue, Request, Response, StatusCode};
 use hyper::body::Incoming;
 use serde_json::json;
-use sesamecart_edges::{CallerBody, HttpClient, REQUEST, ReadBodyError, read_whole, whole};
+use sesamecart_edges::{CallerBody, HttpClient, REQUEST, ReadBodyError, read_body, whole};
 use sesamecart_runtime::Tasks;
 use sesamecart_vocabulary::{RequestClass, RequestId, ServiceId, Timestamp};
 
@@ -175,7 +175,7 @@
     async fn read_body(&self, body: Incoming) -> Result<Bytes, Refusal> {
         let bounds = self.shared.settings.bounds;
         let limit = Duration::from_millis(bounds.body_limit_ms);
-        read_whole(body, bounds.max_body_bytes, limit)
+        read_body(body, bounds.max_body_bytes, limit)
             .await
             .map_err(|error| match error {
                 ReadBodyError::TooLarge(_) => Refusal::TooLarge(error.to_string()),
--- a/crates/sesamecart-node/src/traffic/keyed.rs
+++ b/crates/sesamecart-node/src/traffic/keyed.rs
@@ -7,10 +7,10 @@
 use http::header::CONTENT_TYPE;
 use http::request::Parts;
 use http::{HeaderMap, HeaderValue, Method, Response, StatusCode};
-use sesamecart_actions::{Answer, Asking, Decision, RefusalReason};
+use sesamecart_actions::{Answer, AttemptRequest, Decision, RefusalReason};
 use sesamecart_config::Service;
 use sesamecart_decisions::retry::{AttemptProgress, FailedAttempt, RetryDecision};
-use sesamecart_edges::{CallerBody, IDEMPOTENCY_KEY, OUTCOME, REPLAYED, Reuse, read_whole, whole};
+use sesamecart_edges::{CallerBody, IDEMPOTENCY_KEY, OUTCOME, REPLAYED, Reuse, read_body, whole};
 use sesamecart_fold::{ActionEnd, ActionKey, EncodedBody, Header};
 use sesamecart_vocabulary::{
     AttemptId, BodyDigest, EndpointId, Epoch, IdempotencyKey, RequestId, ServiceId, Timestamp,
@@ -164,11 +164,11 @@
     /// Runs once; nothing means that the key may be begun anew.
     async fn run_once(&self, handler: &Handler) -> Option<Result<Response<CallerBody>, Refusal>> {
         let attempt = handler.shared.identity.attempt_id();
-        let asking = Asking {
+        let asking = AttemptRequest {
             key: self.key.clone(),
             body_digest: self.digest(),
             attempt: attempt.clone(),
-            until: self.until(),
+            deadline: self.until(),
         };
         // The owner may have allowed the try though its reply was lost, so the guard is taken first.
         let guard = handler.desk.under_way();
@@ -325,10 +325,10 @@
         let exchange = sent.send(&handler.client).await?;
         let (head, incoming) = exchange.response.into_parts();
         let max = handler.shared.settings.bounds.max_answer_bytes;
-        let body = read_whole(incoming, max, self.left(handler))
+        let body = read_body(incoming, max, self.left(handler))
             .await
             .map_err(|error| AttemptError::Unknown(format!("{peer}: {error}")))?;
-        exchange.lease.give_back();
+        exchange.lease.return_to_pool();
         let headers = head.headers.get(CONTENT_TYPE).map(|value| Header {
             name: CONTENT_TYPE.to_string(),
             value: EncodedBody(value.as_bytes().to_vec()),
--- a/crates/sesamecart-node/src/traffic/model.rs
+++ b/crates/sesamecart-node/src/traffic/model.rs
@@ -7,7 +7,7 @@
 use http::header::CONTENT_TYPE;
 use http::{HeaderValue, Response, StatusCode};
 use serde::Deserialize;
-use sesamecart_edges::{CallerBody, OUTCOME, read_whole, whole};
+use sesamecart_edges::{CallerBody, OUTCOME, read_body, whole};
 use sesamecart_vocabulary::{ModelId, RequestClass, RequestId, Timestamp};
 
 use crate::snapshot::Snapshot;
@@ -117,14 +117,14 @@
         let (head, incoming) = answered.exchange.response.into_parts();
         let max = self.handler.shared.settings.bounds.max_answer_bytes;
         let mut turn = answered.turn;
-        let body = match read_whole(incoming, max, self.left()).await {
+        let body = match read_body(incoming, max, self.left()).await {
             Ok(body) => body,
             Err(error) => {
                 turn.break_off();
                 return Err(Refusal::NoAnswer(error.to_string()));
             }
         };
-        answered.exchange.lease.give_back();
+        answered.exchange.lease.return_to_pool();
         // The header may be right over another request's body, as when an engine mixes up two.
         if head.status == StatusCode::OK {
             let own = serde_json::from_slice::<AnswerId<'_>>(&body)
--- a/crates/sesamecart-node/src/traffic/relay.rs
+++ b/crates/sesamecart-node/src/traffic/relay.rs
@@ -12,8 +12,8 @@
 use futures_util::stream;
 use http_body_util::{BodyExt as _, StreamBody};
 use hyper::body::{Frame, Incoming};
-use sesamecart_edges::{BoxError, CallerBody, ConnectionLease};
-use sesamecart_runtime::within;
+use sesamecart_edges::{BoxError, CallerBody, PooledConnection};
+use sesamecart_runtime::with_timeout;
 use sesamecart_vocabulary::{AttemptId, EndpointId};
 
 use crate::pools::Turn;
@@ -28,7 +28,7 @@
 #[derive(Debug)]
 struct Source {
     incoming: Incoming,
-    lease: ConnectionLease,
+    lease: PooledConnection,
     splitter: EventSplitter,
     endpoint: EndpointId,
     turn: Turn,
@@ -216,9 +216,9 @@
             return;
         };
         source.turn.finish_stream();
-        let ended = within(END_LIMIT, source.incoming.frame()).await;
+        let ended = with_timeout(END_LIMIT, source.incoming.frame()).await;
         if matches!(ended, Ok(None)) {
-            source.lease.give_back();
+            source.lease.return_to_pool();
         }
     }
 }
--- a/crates/sesamecart-node/src/traffic/service.rs
+++ b/crates/sesamecart-node/src/traffic/service.rs
@@ -6,7 +6,7 @@
 use http::header::CONTENT_TYPE;
 use http::{HeaderValue, Method, Response};
 use sesamecart_decisions::retry::{AttemptProgress, FailedAttempt, RetryDecision};
-use sesamecart_edges::{CallerBody, OUTCOME, Reuse, read_whole, whole};
+use sesamecart_edges::{CallerBody, OUTCOME, Reuse, read_body, whole};
 use sesamecart_vocabulary::{EndpointId, RequestClass, RequestId, ServiceId, Timestamp};
 
 use crate::pools::{Entry, PoolKey};
@@ -145,10 +145,10 @@
         let exchange = attempt.send(&handler.client).await?;
         let (head, incoming) = exchange.response.into_parts();
         let left = self.limit.saturating_sub(shared.clock.now() - self.arrived);
-        let body = read_whole(incoming, shared.settings.bounds.max_answer_bytes, left)
+        let body = read_body(incoming, shared.settings.bounds.max_answer_bytes, left)
             .await
             .map_err(|error| AttemptError::Unknown(format!("{peer}: {error}")))?;
-        exchange.lease.give_back();
+        exchange.lease.return_to_pool();
         let mut response = Response::new(whole(body));
         *response.status_mut() = head.status;
         let headers = response.headers_mut();
--- a/crates/sesamecart-node/src/traffic/settle.rs
+++ b/crates/sesamecart-node/src/traffic/settle.rs
@@ -14,7 +14,7 @@
 use http_body_util::Full;
 use serde::Deserialize;
 use sesamecart_actions::Answer;
-use sesamecart_edges::{ACTION, Reuse, read_whole};
+use sesamecart_edges::{ACTION, Reuse, read_body};
 use sesamecart_fold::{ActionEnd, EncodedBody, Header};
 use sesamecart_runtime::sleep;
 use sesamecart_vocabulary::AttemptId;
@@ -120,10 +120,10 @@
         .ok()?;
     let status = exchange.response.status();
     let max = handler.shared.settings.bounds.max_answer_bytes;
-    let body = read_whole(exchange.response.into_body(), max, limit)
+    let body = read_body(exchange.response.into_body(), max, limit)
         .await
         .ok()?;
-    exchange.lease.give_back();
+    exchange.lease.return_to_pool();
     if !status.is_success() {
         return None;
     }
--- a/crates/sesamecart-node/tests/leases/main.rs
+++ b/crates/sesamecart-node/tests/leases/main.rs
@@ -8,7 +8,7 @@
 use sesamecart_node::Node;
 use sesamecart_runtime::Signal;
 use sesamecart_standins::{LogConfig, LogFaults, LogOutage, LogService};
-use sesamecart_vocabulary::{SHARDS, ShardId};
+use sesamecart_vocabulary::{SHARD_COUNT, ShardId};
 
 /// How long all shards may take to have an owner; far above what they take.
 const LIMIT: Duration = Duration::from_secs(60);
@@ -54,7 +54,7 @@
 
     /// Returns how many nodes may act for each shard; more than one is a fault.
     fn owned(&self) -> usize {
-        let shards = (0..SHARDS).map(ShardId);
+        let shards = (0..SHARD_COUNT).map(ShardId);
         let owned = shards.filter(|shard| {
             let acting = self
                 .nodes
@@ -71,7 +71,7 @@
         let begun = Instant::now();
         loop {
             let owned = self.owned();
-            if owned == usize::from(SHARDS) {
+            if owned == usize::from(SHARD_COUNT) {
                 println!("all shards are owned {when}: {:?}", begun.elapsed());
                 return;
             }
@@ -96,7 +96,12 @@
     nodes.set_log(LogOutage::Refusing);
     let begun = Instant::now();
     while begun.elapsed() < OUTAGE {
-        assert_eq!(nodes.owned(), usize::from(SHARDS), "{:?}", begun.elapsed());
+        assert_eq!(
+            nodes.owned(),
+            usize::from(SHARD_COUNT),
+            "{:?}",
+            begun.elapsed()
+        );
         std::thread::sleep(POLL);
     }
     nodes.set_log(LogOutage::None);
--- a/crates/sesamecart-node/tests/whole_path/setup.rs
+++ b/crates/sesamecart-node/tests/whole_path/setup.rs
@@ -16,7 +16,7 @@
     Engine, EngineConfig, EngineSpeed, Ledger, ListedVm, LogConfig, LogFaults, LogOutage,
     LogService, PlainService, PlainServiceConfig, PlainServiceFaults, VmList, VmRole, VmState,
 };
-use sesamecart_vocabulary::{Concurrency, KeyHash, Revision, SHARDS, ShardId, Tokens};
+use sesamecart_vocabulary::{Concurrency, KeyHash, Revision, SHARD_COUNT, ShardId, Tokens};
 
 pub(crate) const KEY: &str = "key-of-the-test";
 const DOMAINS: [&str; 3] = ["muscat-a", "muscat-b", "muscat-c"];
@@ -119,7 +119,7 @@
         wait_until("an owner of each shard", || {
             let records = deployment.log.records();
             let owned: IndexSet<_> = records.iter().filter_map(|data| claimed(data)).collect();
-            owned.len() >= usize::from(SHARDS)
+            owned.len() >= usize::from(SHARD_COUNT)
         });
         let nodes = deployment.nodes.len();
         let body = r#"{"model":"assistant","max_tokens":1,"prompt":"ready"}"#;
--- a/crates/sesamecart-runtime/src/counted.rs
+++ b/crates/sesamecart-runtime/src/counted.rs
@@ -10,12 +10,12 @@
 
 /// The number of bytes sent and received over a set of streams. Clones share the same counters.
 #[derive(Clone, Debug, Default)]
-pub struct ByteCount {
+pub struct ByteCounters {
     sent: Arc<AtomicU64>,
     received: Arc<AtomicU64>,
 }
 
-impl ByteCount {
+impl ByteCounters {
     /// Returns the number of bytes sent so far.
     #[must_use]
     pub fn sent(&self) -> u64 {
@@ -31,15 +31,15 @@
 
 /// A stream that counts the bytes read from it and written to it.
 #[derive(Debug)]
-pub struct Counted<S> {
+pub struct CountingStream<S> {
     stream: S,
-    count: ByteCount,
+    count: ByteCounters,
 }
 
-impl<S> Counted<S> {
+impl<S> CountingStream<S> {
     /// Wraps `stream` and adds its traffic to `count`.
     #[must_use]
-    pub fn new(stream: S, count: ByteCount) -> Self {
+    pub fn new(stream: S, count: ByteCounters) -> Self {
         Self { stream, count }
     }
 }
@@ -48,7 +48,7 @@
     counter.fetch_add(bytes as u64, Ordering::Relaxed);
 }
 
-impl<S: AsyncRead + Unpin> AsyncRead for Counted<S> {
+impl<S: AsyncRead + Unpin> AsyncRead for CountingStream<S> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -62,7 +62,7 @@
     }
 }
 
-impl<S: AsyncWrite + Unpin> AsyncWrite for Counted<S> {
+impl<S: AsyncWrite + Unpin> AsyncWrite for CountingStream<S> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/crates/sesamecart-runtime/src/lib.rs
+++ b/crates/sesamecart-runtime/src/lib.rs
@@ -11,10 +11,10 @@
 mod time;
 mod worker;
 
-pub use counted::{ByteCount, Counted};
-pub use logs::{LogFormat, start_logs};
+pub use counted::{ByteCounters, CountingStream};
+pub use logs::{LogFormat, init_logging};
 pub use signal::{Signal, Trigger};
-pub use socket::{Accepted, accept, connect, listen};
+pub use socket::{AcceptedConnection, accept, connect, listen};
 pub use tasks::Tasks;
-pub use time::{Clock, Elapsed, sleep, within};
+pub use time::{Clock, Elapsed, sleep, with_timeout};
 pub use worker::{SharedExecutor, Worker};
--- a/crates/sesamecart-runtime/src/logs.rs
+++ b/crates/sesamecart-runtime/src/logs.rs
@@ -44,7 +44,7 @@
 /// # Errors
 ///
 /// Returns an error if a logger is already installed.
-pub fn start_logs(format: LogFormat, level: LevelFilter) -> Result<(), log::SetLoggerError> {
+pub fn init_logging(format: LogFormat, level: LevelFilter) -> Result<(), log::SetLoggerError> {
     log::set_max_level(level);
     log::set_boxed_logger(Box::new(RateLimitedLogger::new(format, level)))
 }
--- a/crates/sesamecart-runtime/src/signal.rs
+++ b/crates/sesamecart-runtime/src/signal.rs
@@ -26,14 +26,14 @@
 
     /// Returns whether the signal is set.
     #[must_use]
-    pub fn is_given(&self) -> bool {
+    pub fn is_set(&self) -> bool {
         self.0.is_closed()
     }
 }
 
 impl Trigger {
     /// Sets the signal and wakes all waiting tasks.
-    pub fn give(&self) {
+    pub fn set(&self) {
         self.0.close();
     }
 }
--- a/crates/sesamecart-runtime/src/socket.rs
+++ b/crates/sesamecart-runtime/src/socket.rs
@@ -6,7 +6,7 @@
 
 use async_io::Async;
 
-use crate::time::{sleep, within};
+use crate::time::{sleep, with_timeout};
 
 /// The delay before `accept` is retried after an error.
 ///
@@ -16,7 +16,7 @@
 
 /// An accepted connection.
 #[derive(Debug)]
-pub struct Accepted {
+pub struct AcceptedConnection {
     /// The connection.
     pub stream: Async<TcpStream>,
     /// The address of the peer.
@@ -29,7 +29,7 @@
 ///
 /// Returns the error of the operating system, or `TimedOut` after `limit`.
 pub async fn connect(peer: SocketAddr, limit: Duration) -> io::Result<Async<TcpStream>> {
-    let stream = within(limit, Async::<TcpStream>::connect(peer))
+    let stream = with_timeout(limit, Async::<TcpStream>::connect(peer))
         .await
         .map_err(|elapsed| io::Error::new(io::ErrorKind::TimedOut, elapsed))??;
     stream.get_ref().set_nodelay(true)?;
@@ -48,13 +48,13 @@
 }
 
 /// Accepts the next connection. After an error it waits and retries.
-pub async fn accept(listener: &Async<TcpListener>) -> Accepted {
+pub async fn accept(listener: &Async<TcpListener>) -> AcceptedConnection {
     loop {
         match listener.accept().await {
             Ok((stream, peer)) => {
                 // Without this option, Nagle's algorithm delays small writes until the peer's acknowledgement.
                 if stream.get_ref().set_nodelay(true).is_ok() {
-                    return Accepted { stream, peer };
+                    return AcceptedConnection { stream, peer };
                 }
             }
             Err(error) => {
--- a/crates/sesamecart-runtime/src/time.rs
+++ b/crates/sesamecart-runtime/src/time.rs
@@ -28,7 +28,7 @@
 /// # Errors
 ///
 /// Returns [`Elapsed`] if the future hasn't completed within `limit`. The future is then dropped.
-pub async fn within<T>(limit: Duration, task: impl Future<Output = T>) -> Result<T, Elapsed> {
+pub async fn with_timeout<T>(limit: Duration, task: impl Future<Output = T>) -> Result<T, Elapsed> {
     future::or(async { Ok(task.await) }, async {
         sleep(limit).await;
         Err(Elapsed)
--- a/crates/sesamecart-runtime/src/worker.rs
+++ b/crates/sesamecart-runtime/src/worker.rs
@@ -11,7 +11,7 @@
 use futures_lite::future;
 
 use crate::tasks::Tasks;
-use crate::time::within;
+use crate::time::with_timeout;
 
 /// The executor that the tasks of a worker share.
 pub type SharedExecutor = Arc<Executor<'static>>;
@@ -93,7 +93,7 @@
         // Nothing is ever sent; `recv` returns when the owner closes the channel.
         let _closed = executor.run(stopped.recv()).await;
         executor.run(tasks.cancel()).await;
-        let finished = within(SHUTDOWN_TIMEOUT, async {
+        let finished = with_timeout(SHUTDOWN_TIMEOUT, async {
             while !executor.is_empty() {
                 future::or(
                     executor.tick(),
--- a/crates/sesamecart-vocabulary/src/hash.rs
+++ b/crates/sesamecart-vocabulary/src/hash.rs
@@ -7,7 +7,7 @@
 /// All nodes must use the same number, so it is a constant instead of a setting: two nodes with different
 /// numbers could both own the same key. 256 shards distribute the ownership over most of the 380 nodes of the
 /// target deployment, while claiming every shard once costs only 256 appends to the log.
-pub const SHARDS: u16 = 256;
+pub const SHARD_COUNT: u16 = 256;
 
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
@@ -54,7 +54,7 @@
     /// Returns the shard of a name.
     #[must_use]
     pub fn of(name: &str) -> Self {
-        let shard = stable_hash(name) % u64::from(SHARDS);
+        let shard = stable_hash(name) % u64::from(SHARD_COUNT);
         Self(u16::try_from(shard).expect("a remainder by a u16 fits a u16"))
     }
 }
--- a/crates/sesamecart-vocabulary/src/lib.rs
+++ b/crates/sesamecart-vocabulary/src/lib.rs
@@ -11,7 +11,7 @@
 mod time;
 
 pub use class::{Priority, RequestClass};
-pub use hash::{SHARDS, rendezvous_weight, rendezvous_weight_of, stable_hash};
+pub use hash::{SHARD_COUNT, rendezvous_weight, rendezvous_weight_of, stable_hash};
 pub use id::{
     AdapterId, AttemptId, CustomerId, EndpointId, FabricDomainId, FailureDomainId, GroupId,
     ModelId, NodeId, ParseIdError, PublishId, RegionId, RequestId, ServiceId, TeamId, VmId,
--- a/crates/sesamecart/src/client.rs
+++ b/crates/sesamecart/src/client.rs
@@ -11,7 +11,7 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use sesamecart_administration::{ErrorCode, ErrorReply};
-use sesamecart_edges::{ClientError, HttpClient, Reuse, Sent, read_whole};
+use sesamecart_edges::{ClientError, HttpClient, Reuse, SendStatus, read_body};
 use sesamecart_runtime::Worker;
 use sesamecart_vocabulary::Bytes as ByteSize;
 use thiserror::Error;
@@ -159,13 +159,13 @@
     ) -> Result<Answer, RequestError> {
         let sent = self.http.send(server, req, Reuse::Allowed, ANSWER_LIMIT);
         let exchange = sent.await.map_err(|error: ClientError| match error.sent {
-            Sent::Nothing => RequestError::NoAnswer(error.into()),
-            Sent::Maybe => RequestError::LostAnswer(error.into()),
+            SendStatus::Nothing => RequestError::NoAnswer(error.into()),
+            SendStatus::PossiblySent => RequestError::LostAnswer(error.into()),
         })?;
         let status = exchange.response.status();
-        let body = read_whole(exchange.response.into_body(), MAX_ANSWER, ANSWER_LIMIT).await;
+        let body = read_body(exchange.response.into_body(), MAX_ANSWER, ANSWER_LIMIT).await;
         let body = body.map_err(|error| RequestError::LostAnswer(error.into()))?;
-        exchange.lease.give_back();
+        exchange.lease.return_to_pool();
         Ok(Answer { status, body })
     }
 }
