--- a/crates/sesamecart/src/replay/actions.rs
+++ b/crates/sesamecart/src/replay/actions.rs
@@ -5,8 +5,9 @@
 use indexmap::IndexMap;
 use serde::Deserialize;
 use sesamecart_actions::{
-    Answer, Asking, CommitConfig, CommitStep, Decision, Durable, Effect, Gather, GroupCommit,
-    KnownActions, Mirrors, MirrorsConfig, Owner, OwnerConfig, Ticket,
+    Answer, AttemptRequest, CallId, CommitConfig, CommitResult, CommitStep, Decision, Effect,
+    GroupCommit, IntentRecovery, MirroredIntents, MirroredIntentsConfig, Owner, OwnerConfig,
+    OwnerContext,
 };
 use sesamecart_fold::{ActionEnd, ActionKey, EncodedBody, Fold, Record};
 use sesamecart_vocabulary::{
@@ -97,8 +98,8 @@
     fold: Fold,
     commit: GroupCommit,
     owner: Option<Owner>,
-    gather: Option<Gather>,
-    mirrors: Mirrors,
+    gather: Option<IntentRecovery>,
+    mirrors: MirroredIntents,
 }
 
 /// An attempt that was asked for.
@@ -113,7 +114,7 @@
     records: Vec<Vec<u8>>,
     nodes: IndexMap<NodeId, Node>,
     now: Timestamp,
-    tickets: IndexMap<Ticket, AttemptId>,
+    tickets: IndexMap<CallId, AttemptId>,
     asked: IndexMap<AttemptId, Asked>,
     has_outcome: bool,
 }
@@ -160,7 +161,7 @@
             commit: GroupCommit::new(config),
             owner: None,
             gather: None,
-            mirrors: Mirrors::new(MirrorsConfig::default()),
+            mirrors: MirroredIntents::new(MirroredIntentsConfig::default()),
         }
     }
 
@@ -239,8 +240,8 @@
         claimant.read(&records);
         claimant.owner = Some(Owner::new(SHARD, epoch, OwnerConfig::default()));
         claimant.gather = Some(match last {
-            Some(lease) => Gather::new(lease.epoch, lease.voters),
-            None => Gather::new(Epoch(0), []),
+            Some(lease) => IntentRecovery::new(lease.epoch, lease.voters),
+            None => IntentRecovery::new(Epoch(0), []),
         });
         self.adopt_if_complete(line, node)
     }
@@ -249,39 +250,39 @@
         let epoch = self.node(line, node)?.owner.as_ref().map(Owner::epoch);
         let told = self.node(line, voter)?;
         let in_force = told.fold.state().epoch(SHARD);
-        let gathered = epoch.and_then(|epoch| told.mirrors.gather(SHARD, epoch, in_force));
+        let gathered = epoch.and_then(|epoch| told.mirrors.reply_to_claim(SHARD, epoch, in_force));
         if let Some(gathered) = gathered
             && let Some(gather) = &mut self.node(line, node)?.gather
         {
-            gather.hear(voter, gathered);
+            gather.record_reply(voter, gathered);
         }
         self.adopt_if_complete(line, node)
     }
 
     fn adopt_if_complete(&mut self, line: &Line, node: &NodeId) -> Result<(), ReplayError> {
         let gather = &mut self.node(line, node)?.gather;
-        let Some(intents) = gather.as_ref().and_then(Gather::complete) else {
+        let Some(intents) = gather.as_ref().and_then(IntentRecovery::recovered_intents) else {
             return Ok(());
         };
         *gather = None;
         self.with_owner(line, node, |owner, known, out| {
-            owner.adopt(known, intents, true, out)
+            owner.complete_takeover(known, intents, true, out)
         })
     }
 
     fn ask(&mut self, line: &Line, ask: Ask) -> Result<(), ReplayError> {
-        let ticket = Ticket(self.tickets.len() as u64);
+        let ticket = CallId(self.tickets.len() as u64);
         self.tickets.insert(ticket, ask.attempt.clone());
         self.asked.entry(ask.attempt.clone()).or_insert(Asked {
             key: ask.key.clone(),
             decision: None,
             was_allowed: false,
         });
-        let asking = Asking {
+        let asking = AttemptRequest {
             key: key_of(&ask.key),
             body_digest: BodyDigest::of(ask.body.as_bytes()),
             attempt: ask.attempt,
-            until: self.now + Duration::from_secs(1),
+            deadline: self.now + Duration::from_secs(1),
         };
         self.with_owner(line, &ask.node, |owner, known, out| {
             owner.begin(known, ticket, asking, out);
@@ -299,9 +300,9 @@
             }),
         };
         let key = key_of(&finish.key);
-        let ticket = Ticket(u64::MAX);
+        let ticket = CallId(u64::MAX);
         self.with_owner(line, &finish.node, |owner, known, out| {
-            owner.finish(known, ticket, &key, &finish.attempt, end, out);
+            owner.record_outcome(known, ticket, &key, &finish.attempt, end, out);
         })
     }
 
@@ -323,7 +324,7 @@
         if done {
             appending.read(&records);
         }
-        let durable = appending.commit.logged(now, batch.id, done);
+        let durable = appending.commit.finish_append(now, batch.id, done);
         self.committed(line, node, &durable)?;
         self.depose_if_replaced(line, node)
     }
@@ -342,11 +343,14 @@
             let in_force = voter.fold.state().epoch(SHARD);
             let keeps = voter
                 .mirrors
-                .keep(SHARD, batch.epoch, in_force, &batch.intents);
+                .store(SHARD, batch.epoch, in_force, &batch.intents);
             kept += usize::from(keeps);
         }
         let enough = kept > self.nodes.len() / 2;
-        let durable = self.node(line, node)?.commit.mirrored(batch.id, enough);
+        let durable = self
+            .node(line, node)?
+            .commit
+            .finish_mirror(batch.id, enough);
         self.committed(line, node, &durable)
     }
 
@@ -354,11 +358,11 @@
         &mut self,
         line: &Line,
         node: &NodeId,
-        durable: &[Durable],
+        durable: &[CommitResult],
     ) -> Result<(), ReplayError> {
         for one in durable {
             self.with_owner(line, node, |owner, known, out| {
-                owner.committed(known, one, out)
+                owner.on_commit_result(known, one, out)
             })?;
         }
         Ok(())
@@ -369,7 +373,7 @@
         let epoch = deposed.fold.state().epoch(SHARD);
         let mut out = Vec::new();
         if let Some(owner) = deposed.owner.take_if(|owner| Some(owner.epoch()) != epoch) {
-            owner.depose(&mut out);
+            owner.step_down(&mut out);
         }
         self.carry_out(line, node, out)
     }
@@ -378,13 +382,13 @@
         &mut self,
         line: &Line,
         node: &NodeId,
-        act: impl FnOnce(&mut Owner, KnownActions<'_>, &mut Vec<Effect>),
+        act: impl FnOnce(&mut Owner, OwnerContext<'_>, &mut Vec<Effect>),
     ) -> Result<(), ReplayError> {
         let now = self.now;
         let acting = self.node(line, node)?;
         let mut out = Vec::new();
         if let Some(owner) = &mut acting.owner {
-            let known = KnownActions {
+            let known = OwnerContext {
                 now,
                 wall_ms: now.0 / 1_000,
                 actions: &acting.fold.state().actions,
@@ -404,7 +408,7 @@
         for effect in effects {
             match effect {
                 Effect::Commit(item) => self.node(line, node)?.commit.push(item),
-                Effect::Recorded(..) => {}
+                Effect::AckOutcome(..) => {}
                 Effect::Reply(ticket, decision) => {
                     let attempt = self.tickets.get(&ticket);
                     let asked = attempt.and_then(|attempt| self.asked.get_mut(attempt));
--- a/crates/sesamecart/src/replay/fold.rs
+++ b/crates/sesamecart/src/replay/fold.rs
@@ -3,7 +3,7 @@
 use indexmap::{IndexMap, IndexSet};
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
-use sesamecart_fold::{DrainTarget, LogReader, PageBounds, RawRecord, Standing, State};
+use sesamecart_fold::{DrainTarget, LogReader, PageBounds, RawRecord, ReaderStatus, State};
 use sesamecart_vocabulary::{Epoch, GroupId, NodeId, Offset, PublishId, Revision, ShardId, VmId};
 
 use super::{Line, ReplayError, require_outcome};
@@ -116,7 +116,7 @@
 #[derive(Default)]
 struct Node {
     reader: LogReader,
-    standing: Option<Standing>,
+    standing: Option<ReaderStatus>,
     /// The highest revision that was in force in this life of the node.
     floor: Revision,
 }
@@ -168,7 +168,7 @@
         };
         let reading = self.nodes.entry(node.clone()).or_default();
         loop {
-            let from = usize::try_from(reading.reader.wants().0).unwrap_or(usize::MAX);
+            let from = usize::try_from(reading.reader.next_read_offset().0).unwrap_or(usize::MAX);
             let kept = self.records.iter().enumerate().skip(from.max(self.first));
             let page: Vec<_> = kept.take(PAGE).collect();
             let records = page.iter().map(|(index, logged)| RawRecord {
@@ -177,7 +177,7 @@
                 data: &logged.data,
             });
             let read = reading.reader.take(bounds, records);
-            reading.standing = Some(read.standing);
+            reading.standing = Some(read.status);
             let revision = reading.reader.fold().state().revision;
             line.expect(
                 "no fall of the revision below",
@@ -185,7 +185,10 @@
                 &(revision >= reading.floor),
             )?;
             reading.floor = revision;
-            if matches!(read.standing, Standing::AtTail | Standing::Stranded) {
+            if matches!(
+                read.status,
+                ReaderStatus::AtTail | ReaderStatus::NoCheckpoint
+            ) {
                 return Ok(());
             }
         }
--- a/crates/sesamecart/src/replay/lease.rs
+++ b/crates/sesamecart/src/replay/lease.rs
@@ -5,7 +5,7 @@
 use indexmap::{IndexMap, IndexSet};
 use serde::Deserialize;
 use sesamecart_lease::{
-    ClaimSeen, Effect, Holder, LeaseSettings, Leases, NodeState, NodeView, ReleaseSeen, View,
+    ClaimRecord, Effect, Holder, LeaseSettings, Leases, NodeState, NodeView, ReleaseRecord, View,
     VoteAnswer,
 };
 use sesamecart_vocabulary::{Epoch, FailureDomainId, Incarnation, NodeId, ShardId, Timestamp};
@@ -100,8 +100,8 @@
 
 #[derive(Clone, Debug)]
 enum Record {
-    Claim(ClaimSeen),
-    Release(ReleaseSeen),
+    Claim(ClaimRecord),
+    Release(ReleaseRecord),
 }
 
 /// A node that may act, and its fencing number.
@@ -240,7 +240,7 @@
             }
         }
         node.next = self.records.len();
-        node.leases.on_tail(self.now, self.now);
+        node.leases.on_tail_read(self.now, self.now);
     }
 
     fn tick(&mut self, name: &NodeId) {
@@ -249,7 +249,7 @@
         for effect in effects {
             match effect {
                 Effect::AppendClaim(draft) => {
-                    let claim = ClaimSeen {
+                    let claim = ClaimRecord {
                         shard: draft.shard,
                         epoch: Epoch(self.records.len() as u64),
                         holder: Holder {
@@ -262,7 +262,7 @@
                     self.append(name, Record::Claim(claim));
                 }
                 Effect::AppendRelease(release) => self.append(name, Record::Release(release)),
-                Effect::AskVote { to, vote } => {
+                Effect::RequestVote { to, vote } => {
                     if self.reaches(name, &to) {
                         let granted = self.nodes[&to].leases.answer(&vote, name);
                         let answer = VoteAnswer {
