--- a/crates/sesamecart-actions/src/intent_recovery.rs
+++ b/crates/sesamecart-actions/src/intent_recovery.rs
@@ -61,14 +61,14 @@
     ///
     /// A voter whose process started after the previous owner's epoch may have lost intents. Those it returns
     /// are used, but its reply doesn't count as complete.
-    pub fn record_reply(&mut self, voter: &VoterId, gathered: VoterReply) {
+    pub fn record_reply(&mut self, voter: &VoterId, reply: VoterReply) {
         if !self.voters.contains(voter) {
             return;
         }
-        for intent in gathered.intents {
+        for intent in reply.intents {
             self.intents.entry(intent.action_key()).or_insert(intent);
         }
-        if gathered.log_tail_at_start <= Offset(self.previous.0 + 1) {
+        if reply.log_tail_at_start <= Offset(self.previous.0 + 1) {
             self.complete_voters.insert(voter.clone());
         }
     }
--- a/crates/sesamecart-actions/src/mirror.rs
+++ b/crates/sesamecart-actions/src/mirror.rs
@@ -39,7 +39,7 @@
 pub struct MirroredIntents {
     config: MirroredIntentsConfig,
     /// The log's tail when this process first read it.
-    settled_from: Option<Offset>,
+    log_tail_at_start: Option<Offset>,
     stored: IndexMap<ShardId, IndexMap<ActionKey, StoredIntent>>,
     count: usize,
 }
@@ -50,7 +50,7 @@
     pub fn new(config: MirroredIntentsConfig) -> Self {
         Self {
             config,
-            settled_from: None,
+            log_tail_at_start: None,
             stored: IndexMap::new(),
             count: 0,
         }
@@ -58,7 +58,7 @@
 
     /// Records that the node has read the log's tail at `offset`; only the first call has an effect.
     pub fn settle(&mut self, offset: Offset) {
-        self.settled_from.get_or_insert(offset);
+        self.log_tail_at_start.get_or_insert(offset);
     }
 
     /// Returns the number of stored intents.
@@ -84,7 +84,7 @@
         current_epoch: Option<Epoch>,
         intents: &[ActionIntent],
     ) -> bool {
-        if self.settled_from.is_none() || current_epoch != Some(epoch) {
+        if self.log_tail_at_start.is_none() || current_epoch != Some(epoch) {
             return false;
         }
         if self.count + intents.len() > self.config.max_intents {
@@ -113,7 +113,7 @@
         claim: Epoch,
         current_epoch: Option<Epoch>,
     ) -> Option<VoterReply> {
-        let settled_from = self.settled_from?;
+        let log_tail_at_start = self.log_tail_at_start?;
         if current_epoch.is_none_or(|epoch| epoch < claim) {
             return None;
         }
@@ -125,7 +125,7 @@
             .map(|stored| stored.intent.clone())
             .collect();
         Some(VoterReply {
-            log_tail_at_start: settled_from,
+            log_tail_at_start,
             intents,
         })
     }
--- a/crates/sesamecart-actions/src/owner.rs
+++ b/crates/sesamecart-actions/src/owner.rs
@@ -204,7 +204,7 @@
     pub fn begin(
         &mut self,
         cx: OwnerContext<'_>,
-        ticket: CallId,
+        call_id: CallId,
         req: AttemptRequest,
         out: &mut Vec<Effect>,
     ) {
@@ -214,23 +214,23 @@
             KeyTime::NoTimestamp | KeyTime::Fresh => None,
         };
         if let Some(decision) = decision {
-            out.push(Effect::Reply(ticket, decision));
+            out.push(Effect::Reply(call_id, decision));
             return;
         }
         if self.entries.contains_key(&req.key) {
-            self.decide_local(cx, ticket, req, out);
+            self.decide_local(cx, call_id, req, out);
             return;
         }
         match cx.actions.get(&req.key) {
             Some(entry) if !allows_new_attempt(entry) => {
                 let decision = self.decide_logged(entry, &req);
-                out.push(Effect::Reply(ticket, decision));
+                out.push(Effect::Reply(call_id, decision));
             }
             Some(entry) if entry.attempt == req.attempt => {
                 let decision = self.refuse(RefusalReason::AttemptEnded);
-                out.push(Effect::Reply(ticket, decision));
+                out.push(Effect::Reply(call_id, decision));
             }
-            _ => self.begin_new(cx, ticket, req, out),
+            _ => self.begin_new(cx, call_id, req, out),
         }
     }
 
@@ -238,7 +238,7 @@
     pub fn record_outcome(
         &mut self,
         cx: OwnerContext<'_>,
-        ticket: CallId,
+        call_id: CallId,
         key: &ActionKey,
         attempt: &AttemptId,
         end: ActionEnd,
@@ -250,13 +250,13 @@
             Some(known_attempt) if known_attempt == attempt => {}
             // Another attempt is current, so this one was never granted or is superseded.
             Some(_) => {
-                out.push(Effect::AckOutcome(ticket, true));
+                out.push(Effect::AckOutcome(call_id, true));
                 return;
             }
             // The intent may not have been recovered yet, and an outcome takes effect only after its intent.
             None => {
                 let is_redundant = end == ActionEnd::NotRun && !self.is_recovering();
-                out.push(Effect::AckOutcome(ticket, is_redundant));
+                out.push(Effect::AckOutcome(call_id, is_redundant));
                 return;
             }
         }
@@ -264,21 +264,21 @@
             && entry.attempt == *attempt
             && !matches!(entry.end, None | Some(ActionEnd::Unknown))
         {
-            out.push(Effect::AckOutcome(ticket, true));
+            out.push(Effect::AckOutcome(call_id, true));
             return;
         }
         let entry = self.entry_for_outcome(cx, key, attempt);
         let (is_new, waiters) = entry.set_outcome(end, cx.now);
         if !is_new && entry.is_logged() {
-            out.push(Effect::AckOutcome(ticket, true));
+            out.push(Effect::AckOutcome(call_id, true));
             return;
         }
-        entry.recorders.push(ticket);
+        entry.recorders.push(call_id);
         if is_new {
             self.commit_outcome(key, out);
         }
         for waiter in waiters {
-            self.begin(cx, waiter.ticket, waiter.req, out);
+            self.begin(cx, waiter.call_id, waiter.req, out);
         }
     }
 
@@ -312,14 +312,14 @@
     /// Ends the ownership, and tells all waiting calls to ask the next owner.
     pub fn step_down(self, out: &mut Vec<Effect>) {
         for entry in self.entries.into_values() {
-            if let Phase::Committing { ticket, .. } = entry.phase {
-                out.push(Effect::Reply(ticket, Decision::NotOwner));
+            if let Phase::Committing { call_id, .. } = entry.phase {
+                out.push(Effect::Reply(call_id, Decision::NotOwner));
             }
             for waiter in entry.waiters {
-                out.push(Effect::Reply(waiter.ticket, Decision::NotOwner));
+                out.push(Effect::Reply(waiter.call_id, Decision::NotOwner));
             }
-            for ticket in entry.recorders {
-                out.push(Effect::AckOutcome(ticket, false));
+            for call_id in entry.recorders {
+                out.push(Effect::AckOutcome(call_id, false));
             }
         }
     }
@@ -338,7 +338,7 @@
         let attempt = entry.attempt.clone();
         for waiter in waiters {
             let attempt = attempt.clone();
-            out.push(Effect::Reply(waiter.ticket, Decision::Unknown { attempt }));
+            out.push(Effect::Reply(waiter.call_id, Decision::Unknown { attempt }));
         }
     }
 
@@ -346,7 +346,7 @@
     fn begin_new(
         &mut self,
         cx: OwnerContext<'_>,
-        ticket: CallId,
+        call_id: CallId,
         req: AttemptRequest,
         out: &mut Vec<Effect>,
     ) {
@@ -359,7 +359,7 @@
             Readiness::Ready => None,
         };
         if let Some(reason) = refusal {
-            out.push(Effect::Reply(ticket, self.refuse(reason)));
+            out.push(Effect::Reply(call_id, self.refuse(reason)));
             return;
         }
         let intent = ActionIntent {
@@ -374,7 +374,7 @@
             body_digest: req.body_digest,
             attempt: req.attempt,
             phase: Phase::Committing {
-                ticket,
+                call_id,
                 until: req.deadline + self.config.outcome_grace_period,
             },
             waiters: Vec::new(),
@@ -390,7 +390,7 @@
     fn decide_local(
         &mut self,
         cx: OwnerContext<'_>,
-        ticket: CallId,
+        call_id: CallId,
         req: AttemptRequest,
         out: &mut Vec<Effect>,
     ) {
@@ -412,25 +412,25 @@
             Phase::Ended {
                 end: ActionEnd::NotRun,
                 ..
-            } => return self.begin_retry(cx, ticket, req, out),
+            } => return self.begin_retry(cx, call_id, req, out),
             _ if !entry.body_digest.matches(&req.body_digest) => Decision::Mismatch,
             Phase::Ended { end, .. } => decide_ended(end, &entry.attempt),
             // The reply was lost, and the node repeats its call for an attempt that it hasn't sent.
             Phase::Granted { .. } if is_same_attempt => Decision::Send { epoch },
             Phase::Committing {
-                ticket: pending, ..
+                call_id: pending, ..
             } if is_same_attempt => {
-                *pending = ticket;
+                *pending = call_id;
                 return;
             }
             Phase::Granted { .. } | Phase::Committing { .. } => {
-                if entry.add_waiter(Waiter { ticket, req }, max_waiters) {
+                if entry.add_waiter(Waiter { call_id, req }, max_waiters) {
                     return;
                 }
                 Decision::Running { retry_after }
             }
         };
-        out.push(Effect::Reply(ticket, decision));
+        out.push(Effect::Reply(call_id, decision));
     }
 
     /// Begins another attempt for a key whose last attempt wasn't run.
@@ -440,14 +440,14 @@
     fn begin_retry(
         &mut self,
         cx: OwnerContext<'_>,
-        ticket: CallId,
+        call_id: CallId,
         req: AttemptRequest,
         out: &mut Vec<Effect>,
     ) {
         let key = req.key.clone();
         let last = self.entries.shift_remove(&key);
         let mut effects = Vec::new();
-        self.begin_new(cx, ticket, req, &mut effects);
+        self.begin_new(cx, call_id, req, &mut effects);
         let Some(mut last) = last else {
             out.append(&mut effects);
             return;
--- a/crates/sesamecart-actions/src/owner/durable.rs
+++ b/crates/sesamecart-actions/src/owner/durable.rs
@@ -47,7 +47,7 @@
         let Some(entry) = self.entries.get_mut(&key) else {
             return;
         };
-        let Phase::Committing { ticket, until } = entry.phase else {
+        let Phase::Committing { call_id, until } = entry.phase else {
             return;
         };
         if entry.attempt != intent.attempt {
@@ -56,7 +56,7 @@
         if verdict == IntentStatus::Accepted {
             entry.phase = Phase::Granted { until };
             let epoch = self.epoch;
-            out.push(Effect::Reply(ticket, Decision::Send { epoch }));
+            out.push(Effect::Reply(call_id, Decision::Send { epoch }));
             return;
         }
         let entry = self.entries.shift_remove(&key);
@@ -66,9 +66,9 @@
             }
             _ => Decision::NotOwner,
         };
-        out.push(Effect::Reply(ticket, decision));
+        out.push(Effect::Reply(call_id, decision));
         for waiter in entry.into_iter().flat_map(|entry| entry.waiters) {
-            self.begin(cx, waiter.ticket, waiter.req, out);
+            self.begin(cx, waiter.call_id, waiter.req, out);
         }
     }
 
@@ -86,7 +86,7 @@
         let Some(entry) = self.entries.get_mut(&key) else {
             return;
         };
-        let Phase::Committing { ticket, .. } = entry.phase else {
+        let Phase::Committing { call_id, .. } = entry.phase else {
             return;
         };
         if entry.attempt != intent.attempt {
@@ -95,9 +95,9 @@
         let (_, waiters) = entry.set_outcome(ActionEnd::NotRun, cx.now);
         self.commit_outcome(&key, out);
         let refusal = self.refuse(RefusalReason::NotDurable);
-        out.push(Effect::Reply(ticket, refusal.clone()));
+        out.push(Effect::Reply(call_id, refusal.clone()));
         for waiter in waiters {
-            out.push(Effect::Reply(waiter.ticket, refusal.clone()));
+            out.push(Effect::Reply(waiter.call_id, refusal.clone()));
         }
     }
 
@@ -126,8 +126,8 @@
         if is_accepted || is_redundant {
             entry.mark_logged();
         }
-        for ticket in entry.recorders.drain(..) {
-            out.push(Effect::AckOutcome(ticket, is_accepted || is_redundant));
+        for call_id in entry.recorders.drain(..) {
+            out.push(Effect::AckOutcome(call_id, is_accepted || is_redundant));
         }
     }
 
--- a/crates/sesamecart-actions/src/owner/entry.rs
+++ b/crates/sesamecart-actions/src/owner/entry.rs
@@ -11,7 +11,7 @@
     /// The intent is being stored durably.
     Committing {
         /// The call that is waiting for the decision.
-        ticket: CallId,
+        call_id: CallId,
         /// The deadline for reporting the outcome, if the attempt is granted.
         until: Timestamp,
     },
@@ -32,7 +32,7 @@
 /// A call that is waiting for the outcome of another attempt for the same key.
 #[derive(Debug)]
 pub(super) struct Waiter {
-    pub(super) ticket: CallId,
+    pub(super) call_id: CallId,
     pub(super) req: AttemptRequest,
 }
 
--- a/crates/sesamecart-actions/tests/simulation/mod.rs
+++ b/crates/sesamecart-actions/tests/simulation/mod.rs
@@ -98,8 +98,8 @@
     /// Records of appends whose reply was lost and which may still reach the log.
     late_appends: Vec<Vec<u8>>,
     attempts: Vec<Attempt>,
-    tickets: IndexMap<CallId, usize>,
-    next_ticket: u64,
+    requests_by_call: IndexMap<CallId, usize>,
+    next_call_id: u64,
     fault: Option<String>,
     pub coverage: Coverage,
 }
@@ -156,8 +156,8 @@
             log_up: true,
             late_appends: Vec::new(),
             attempts: Vec::new(),
-            tickets: IndexMap::new(),
-            next_ticket: 0,
+            requests_by_call: IndexMap::new(),
+            next_call_id: 0,
             fault: None,
             coverage: Coverage::default(),
         }
@@ -256,21 +256,21 @@
     }
 
     fn begin(&mut self, index: usize, one: usize) {
-        let ticket = self.ticket(one);
+        let call_id = self.call_id(one);
         let req = AttemptRequest {
             key: self.attempts[one].key.clone(),
             body_digest: BodyDigest::of(b"body"),
             attempt: self.attempts[one].id.clone(),
             deadline: self.now + Duration::from_secs(1),
         };
-        self.with_owner(index, |owner, cx, out| owner.begin(cx, ticket, req, out));
+        self.with_owner(index, |owner, cx, out| owner.begin(cx, call_id, req, out));
     }
 
-    fn ticket(&mut self, one: usize) -> CallId {
-        self.next_ticket += 1;
-        let ticket = CallId(self.next_ticket);
-        self.tickets.insert(ticket, one);
-        ticket
+    fn call_id(&mut self, one: usize) -> CallId {
+        self.next_call_id += 1;
+        let call_id = CallId(self.next_call_id);
+        self.requests_by_call.insert(call_id, one);
+        call_id
     }
 
     fn with_owner(
@@ -298,14 +298,14 @@
         for effect in effects {
             match effect {
                 Effect::Commit(item) => self.nodes[index].commit.push(item),
-                Effect::Reply(ticket, decision) => self.reply(ticket, decision),
+                Effect::Reply(call_id, decision) => self.reply(call_id, decision),
                 Effect::AckOutcome(..) => {}
             }
         }
     }
 
-    fn reply(&mut self, ticket: CallId, decision: Decision) {
-        let one = self.tickets[&ticket];
+    fn reply(&mut self, call_id: CallId, decision: Decision) {
+        let one = self.requests_by_call[&call_id];
         // Some replies are lost.
         if self.attempts[one].progress != Progress::Pending || self.rng.u32(..10) == 0 {
             return;
@@ -313,7 +313,13 @@
         let key = self.attempts[one].key.clone();
         match decision {
             Decision::Send { .. } => {
-                if self.tickets.values().filter(|other| **other == one).count() > 1 {
+                if self
+                    .requests_by_call
+                    .values()
+                    .filter(|other| **other == one)
+                    .count()
+                    > 1
+                {
                     self.coverage.repeated_grants += 1;
                 }
                 self.attempts[one].progress = Progress::Granted;
@@ -623,12 +629,12 @@
             return;
         }
         let one = reportable[self.rng.usize(..reportable.len())];
-        let ticket = self.ticket(one);
+        let call_id = self.call_id(one);
         let ended = &self.attempts[one];
         let (key, attempt) = (ended.key.clone(), ended.id.clone());
         let end = ended.end.clone().unwrap();
         self.with_owner(index, |owner, cx, out| {
-            owner.record_outcome(cx, ticket, &key, &attempt, end, out);
+            owner.record_outcome(cx, call_id, &key, &attempt, end, out);
         });
     }
 
--- a/crates/sesamecart-fold/src/reader.rs
+++ b/crates/sesamecart-fold/src/reader.rs
@@ -135,7 +135,7 @@
         PageOutcome {
             adopted,
             applied,
-            status: self.standing(bounds),
+            status: self.status(bounds),
         }
     }
 
@@ -193,7 +193,7 @@
         adopted
     }
 
-    fn standing(&self, bounds: PageBounds) -> ReaderStatus {
+    fn status(&self, bounds: PageBounds) -> ReaderStatus {
         match self.seek {
             Some(seek) if seek >= bounds.next => ReaderStatus::NoCheckpoint,
             Some(_) => ReaderStatus::SeekingCheckpoint,
--- a/crates/sesamecart-fold/src/tests/reader.rs
+++ b/crates/sesamecart-fold/src/tests/reader.rs
@@ -8,9 +8,9 @@
 
 fn read_all(log: &MemoryLog, reader: &mut LogReader) -> ReaderStatus {
     for _ in 0..100 {
-        let standing = log.read_into(reader).status;
-        if matches!(standing, ReaderStatus::AtTail | ReaderStatus::NoCheckpoint) {
-            return standing;
+        let status = log.read_into(reader).status;
+        if matches!(status, ReaderStatus::AtTail | ReaderStatus::NoCheckpoint) {
+            return status;
         }
     }
     panic!("the reader did not finish within 100 pages");
