--- a/crates/sesamecart-decisions/src/admission/request.rs
+++ b/crates/sesamecart-decisions/src/admission/request.rs
@@ -44,6 +44,7 @@
     /// at the same time don't retry at the same time.
     pub(super) fn jitter(self) -> f64 {
         let hash = rendezvous_weight("retry-after", &self.to_string());
+        // The upper 53 bits of the hash, which an `f64` represents exactly.
         0.5 * (hash >> 11) as f64 / (1_u64 << 53) as f64
     }
 }
--- a/crates/sesamecart-decisions/src/allowance.rs
+++ b/crates/sesamecart-decisions/src/allowance.rs
@@ -1,7 +1,7 @@
 //! The concurrency limit of an endpoint and how nodes share it.
 //!
-//! The limit covers endpoints that have just started, become cold without notice, become slow, or
-//! return with their failure domain, and load that moves between nodes:
+//! The limit protects endpoints that have just started, become cold without notice, become slow, or
+//! return with their failure domain, and remains in force while load moves between nodes:
 //!
 //! - An endpoint has one limit for the whole system, kept by its shard's owner ([`Allowance`]).
 //!   With a limit per node, the small shares of all nodes add up to far more than a cold endpoint
@@ -13,7 +13,7 @@
 //!   node become available when they expire. A new owner lends nothing until its predecessor's
 //!   slices have expired.
 //!
-//! A permit allows one request and an equal part of the KV memory
+//! A permit allows one request and an equal part of the KV cache memory
 //! ([`EndpointLimits::kv_per_permit`]). The requests that a node runs under a slice exceed neither
 //! the number nor the memory of its permits. One lent number therefore limits both, and a few long
 //! requests can't exceed an engine's memory.
--- a/crates/sesamecart-decisions/src/allowance/owner.rs
+++ b/crates/sesamecart-decisions/src/allowance/owner.rs
@@ -1,4 +1,4 @@
-//! The owner's side of one endpoint, which lends the endpoint's limit to nodes in slices.
+//! The owner of one endpoint's limit, which lends the limit to nodes in slices.
 
 use indexmap::IndexMap;
 use sesamecart_vocabulary::{NodeId, Permits, Timestamp};
@@ -20,11 +20,14 @@
 /// The permits that one node holds.
 #[derive(Clone, Debug, Default)]
 struct NodeGrants {
+    /// When the node sent the last demand that was applied.
     asked: Timestamp,
     grants: Vec<Grant>,
     in_flight: Permits,
     wanted: Permits,
+    /// When the last slice expires.
     valid_until: Timestamp,
+    /// Until when the permits of an unresponsive node count as in use.
     linger_until: Timestamp,
 }
 
@@ -32,6 +35,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Grant {
     permits: Permits,
+    /// When the slice expires.
     valid_until: Timestamp,
 }
 
@@ -67,6 +71,8 @@
         }
     }
 
+    /// Adds a grant, which expires after all earlier ones. Of these, only the larger ones still affect
+    /// [`NodeGrants::held`].
     fn push(&mut self, grant: Grant) {
         self.grants
             .retain(|earlier| earlier.permits > grant.permits);
@@ -121,10 +127,10 @@
         };
     }
 
-    /// Releases the permits of a node that is known to have failed when its slice expires, since its
-    /// connections and with them its requests are closed.
+    /// Records that a node was reported as failed. Its permits become free when its slice expires,
+    /// without the linger time, since its connections and with them its requests are closed.
     ///
-    /// The slice counts until it expires, since the failure may have been detected wrongly.
+    /// The slice counts until it expires, since the report may be wrong.
     pub fn node_failed(&mut self, node: &NodeId) {
         if let Some(grants) = self.nodes.get_mut(node) {
             grants.linger_until = grants.valid_until;
@@ -134,7 +140,7 @@
     /// Applies a node's demand and lends the node a slice.
     ///
     /// A demand that arrives after a later one is ignored: the node no longer waits for its answer,
-    /// and may use the permits that the demand returned again.
+    /// and may by now be using the permits again that this demand returned.
     pub fn borrow(&mut self, now: Timestamp, node: &NodeId, demand: &Demand) -> Slice {
         let is_outdated = self
             .nodes
--- a/crates/sesamecart-decisions/src/routing/outlier.rs
+++ b/crates/sesamecart-decisions/src/routing/outlier.rs
@@ -102,8 +102,8 @@
             .endpoints
             .iter()
             .filter(|stats| now < stats.ejected_until);
-        let max_ejected = (self.cfg.max_ejected * self.endpoints.len() as f64) as usize;
-        if ejected.count() >= max_ejected {
+        let max_ejected_count = (self.cfg.max_ejected * self.endpoints.len() as f64) as usize;
+        if ejected.count() >= max_ejected_count {
             return;
         }
         let stats = &mut self.endpoints[endpoint];
--- a/crates/sesamecart-entry/src/controller.rs
+++ b/crates/sesamecart-entry/src/controller.rs
@@ -231,8 +231,8 @@
 }
 
 impl Term {
-    /// Logs each model that can't be served once, so that operators look for missing engines and not for a
-    /// fault.
+    /// Logs once for each model that it can't be served, so that operators look for missing engines and not
+    /// for a fault.
     fn log_unservable(&mut self, state: &EntryState, now: Timestamp, input: &PlannerInput<'_>) {
         let models = self.planner.unservable_models(now, input.spec);
         state.metrics.record_unservable(models.len());
--- a/crates/sesamecart-entry/src/controller/observations.rs
+++ b/crates/sesamecart-entry/src/controller/observations.rs
@@ -1,4 +1,4 @@
-//! Reads the observations that other nodes send to the controller through the store: groups found lost.
+//! Follows the observations topic of the store, in which other nodes report lost groups to the controller.
 
 use std::time::Duration;
 
@@ -15,13 +15,14 @@
 /// Delay before a failed call to the store is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Sends the groups of all observations that are appended from now on to `lost_groups`.
+/// Sends the groups of all observations that are appended from now on to `lost_groups`. If the start of the
+/// topic was trimmed, the observations that it still holds are sent as well.
 pub(super) async fn follow_observations(store: Store, lost_groups: Sender<GroupKey>) {
     let mut next_offset: Option<Offset> = None;
     loop {
         let Some(offset) = next_offset else {
-            // This read only finds the end of the topic. The store's reply has it, also for an offset past
-            // the end.
+            // This read only finds where to start. The reply to a read contains the topic's end. If offset 0
+            // was trimmed, the reply only has the first record kept, and reading starts there.
             match store
                 .read(Topic::Observations, Offset(0), Duration::ZERO)
                 .await
--- a/crates/sesamecart-entry/src/feed/tests.rs
+++ b/crates/sesamecart-entry/src/feed/tests.rs
@@ -84,9 +84,9 @@
 }
 
 /// A reader fails, and the standby that replaces it has just read the topics, so it doesn't know which keys
-/// were dropped before. A follower that received only newer records would send requests to removed endpoints.
+/// were removed before. A follower that received only newer records would send requests to removed endpoints.
 #[test]
-fn a_follower_that_switches_nodes_receives_the_whole_topic_if_drops_are_unknown() {
+fn a_follower_that_switches_nodes_receives_the_whole_topic_if_removals_are_unknown() {
     let feed = feed();
     let reply = request_update(&feed, 8);
     assert!(
@@ -186,7 +186,9 @@
     assert_eq!(registry(&reply), [("e1", None)]);
 }
 
-/// Guards against an endpoint that was removed within a gap and is kept for as long as nothing else changes.
+/// The reader didn't read the store for a while, so it doesn't know which keys were removed between two
+/// offsets (a gap). A follower whose offset lies between them must be sent the unchanged keys even if there are
+/// no newer records, or it keeps removed endpoints for as long as nothing else changes.
 #[test]
 fn unchanged_keys_alone_are_an_update_for_a_follower_in_a_gap() {
     let feed = feed();
--- a/crates/sesamecart-entry/src/follower.rs
+++ b/crates/sesamecart-entry/src/follower.rs
@@ -25,7 +25,8 @@
 /// The long-poll timeout for reads of the operator topic, as a fraction of `bounds.configuration_ms`.
 ///
 /// The configuration's age is counted from the time at which the last completed read was sent. While nothing
-/// changes, the age therefore reaches two poll timeouts plus one read interval.
+/// changes, the age therefore reaches two poll timeouts plus one read interval, which must stay below that
+/// bound.
 const OPERATOR_POLL_TIMEOUT_FRACTION: f64 = 0.4;
 
 /// The long-poll timeout for reads of the registry topic.
@@ -112,7 +113,8 @@
 }
 
 impl TopicFollower<'_> {
-    /// Follows the topic until the store has been unavailable for longer than `timeout`.
+    /// Follows the topic until the store has been unavailable for longer than `timeout`, or forever if it is
+    /// `None`.
     async fn run(mut self, timeout: Option<Duration>) {
         loop {
             match self.read_snapshot().await {
@@ -169,6 +171,7 @@
             match self.store.read(self.topic, from, poll_timeout).await {
                 Ok(ReadResult::Records { next, end, records }) => {
                     let was_unavailable = self.dependency.record_success(self.state);
+                    // The store has lost records that were already read.
                     if end < from {
                         return;
                     }
--- a/crates/sesamecart-entry/src/follower/nodes/tests.rs
+++ b/crates/sesamecart-entry/src/follower/nodes/tests.rs
@@ -94,5 +94,6 @@
         ..TopicPart::default()
     };
     update_nodes(&state, changed);
+    // The node itself, n1, stays listed although no record contains it.
     assert_eq!(known(&state), ["n1", "n3", "n4"]);
 }
--- a/crates/sesamecart-entry/src/node.rs
+++ b/crates/sesamecart-entry/src/node.rs
@@ -241,7 +241,8 @@
     let client = HttpClient::new(tasks.clone(), CONTROL_CONNECT_TIMEOUT);
     let store = {
         let on_call_state = Arc::clone(state);
-        let on_call = move |step, topic| on_call_state.metrics.count_store_call(step, topic);
+        let on_call =
+            move |operation, topic| on_call_state.metrics.count_store_call(operation, topic);
         Store::new(
             client.clone(),
             state.settings.store,
--- a/crates/sesamecart-entry/src/settings.rs
+++ b/crates/sesamecart-entry/src/settings.rs
@@ -56,7 +56,8 @@
     pub retry_burst: f64,
     /// Milliseconds between two heartbeats of an endpoint.
     pub heartbeat_ms: u64,
-    /// Minimum time that the store keeps a member of a group without a renewal, in milliseconds.
+    /// Minimum TTL, in milliseconds, of a node's membership in the store's group of nodes that compete for
+    /// control.
     pub lease_least_ms: u64,
 }
 
--- a/crates/sesamecart-entry/src/traffic/handler.rs
+++ b/crates/sesamecart-entry/src/traffic/handler.rs
@@ -182,6 +182,7 @@
 /// Returns the approximate size of a request's head in bytes.
 fn head_size(head: &Parts) -> u64 {
     let headers = head.headers.iter();
+    // The 4 bytes are the colon, the space and the line break of each header.
     let lines = headers.map(|(name, value)| name.as_str().len() + value.len() + 4);
     let target = head
         .uri
--- a/crates/sesamecart-entry/src/traffic/response.rs
+++ b/crates/sesamecart-entry/src/traffic/response.rs
@@ -54,6 +54,7 @@
         if let Some(not_run) = response_head.not_run {
             in_flight.mark_ended();
             self.eject_rejecting(&in_flight.endpoint, not_run, &response_head);
+            // The connection can be reused only if the rest of the body arrives within this short time.
             if read_whole(body, MAX_BUFFERED_RESPONSE, MIN_RESPONSE_TIMEOUT)
                 .await
                 .is_ok()
--- a/crates/sesamecart-entry/src/traffic/timeout.rs
+++ b/crates/sesamecart-entry/src/traffic/timeout.rs
@@ -24,17 +24,17 @@
 /// How often the node checks again whether a stream without a first event would start sooner at another head.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How the wait for a response's head ended.
+/// How the wait for the response's status and headers ended.
 enum WaitOutcome {
     Response(Result<Exchange, ClientError>),
     GroupLost,
     TimedOut(FirstEventTimeout),
 }
 
-/// A timeout while waiting for a stream's first event.
+/// A timeout while waiting for the response headers of a stream, which count as its first event.
 struct FirstEventTimeout {
     waited: Duration,
-    /// Whether the head sent data for other requests in the meantime.
+    /// Whether the group's head sent data for other requests in the meantime.
     is_head_active: bool,
 }
 
@@ -49,7 +49,7 @@
 }
 
 impl Call {
-    /// Sends the request to an endpoint and waits for the head of the response.
+    /// Sends the request to an endpoint and waits for the response's status and headers.
     ///
     /// # Errors
     ///
@@ -61,14 +61,14 @@
         attempts: &Attempts,
         last_event: Option<&str>,
     ) -> Result<Exchange, (AttemptError, bool)> {
-        let handover = ForwardContext {
+        let context = ForwardContext {
             endpoint: &endpoint.id,
             customer: self.customer.as_deref(),
             remaining_time: self.caller_time_left(),
             priority: self.priority(),
             last_event,
         };
-        let req = build_forwarded_request(&self.head, &self.body, &handover);
+        let req = build_forwarded_request(&self.head, &self.body, &context);
         let reuse = if self.route.delivery.may_repeat() {
             Reuse::Allowed
         } else {
@@ -94,7 +94,7 @@
                     may_have_run: client_error.sent == Sent::Maybe,
                     cause: client_error.to_string(),
                 };
-                // The endpoint isn't at fault if the caller set a short timeout.
+                // The endpoint isn't at fault if the request's time limit has passed.
                 let is_past_deadline = self.time_left().is_zero();
                 Err((error, !is_past_deadline))
             }
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Waits until a stream's first event is so late that another head should be tried.
+    /// Waits until a stream's first event is so late that the head of another group should be tried.
     ///
     /// While all heads are busy, another one is unlikely to start the stream sooner, and the prompt would be
     /// processed twice. The request then stays where it is.
@@ -144,7 +144,7 @@
         tried.tried.push(endpoint.id.clone());
         loop {
             let is_head_active = self.state.loads().has_event_since(sent_at, &endpoint.id);
-            if !is_head_active || self.has_faster_head(&tried) {
+            if !is_head_active || self.has_free_head(&tried) {
                 if is_head_active {
                     self.state.first_event_timeouts().expire(model);
                 }
@@ -160,7 +160,7 @@
 
     /// Returns whether an untried head has a free slot and the retry budget allows sending this request
     /// there.
-    fn has_faster_head(&self, tried: &Attempts) -> bool {
+    fn has_free_head(&self, tried: &Attempts) -> bool {
         let placement = self.place(tried, ColdEndpointPolicy::Skip);
         placement
             .is_ok_and(|placement| placement.load < 1.0 && self.state.has_retry(&placement.service))
--- a/crates/sesamecart-entry/tests/end_to_end/many_nodes.rs
+++ b/crates/sesamecart-entry/tests/end_to_end/many_nodes.rs
@@ -16,9 +16,9 @@
 }
 
 /// One model needs more engines than any fabric domain has, and nodes in five failure domains serve callers
-/// of all models. If the engines were assigned to this model, no caller would be served. If requests for it
-/// were admitted, they would wait until their deadlines. If every node read the store, the store would reject
-/// them.
+/// of all models. The engines must go to the other models, or no caller would be served. Requests for the
+/// large model must be refused at once instead of waiting until their deadlines. Only one node of each failure
+/// domain may read the store, which would reject the reads of all nodes.
 #[test]
 fn twenty_nodes_serve_models_that_fit_and_refuse_those_that_do_not() {
     let deployment = Deployment::start(EVENTS);
@@ -28,7 +28,8 @@
         deployment.add_nodes(domain, count)
     });
     let others: Vec<Entry> = others.collect();
-    // The first node continues to read the store because it controls the groups.
+    // The first node continues to read the store because it controls the groups, so its failure domain may
+    // have no other reader.
     deployment.wait_until("one node of each failure domain reads the store", || {
         let readers = others.iter().filter(|node| reads(node)).count();
         (DOMAINS.len() - 1..=DOMAINS.len()).contains(&readers)
--- a/crates/sesamecart-fleet/src/catalog.rs
+++ b/crates/sesamecart-fleet/src/catalog.rs
@@ -18,7 +18,7 @@
     /// A request may run more than once.
     #[display("idempotent")]
     Idempotent,
-    /// A request runs at most once per attempt of its caller.
+    /// Each request that a caller sends runs at most once.
     #[display("at most once")]
     AtMostOnce,
     /// The answer is a stream of events.
@@ -71,7 +71,8 @@
     pub event_gap_target: Option<Duration>,
     /// The priority; 0 is the most urgent.
     pub priority: u8,
-    /// The maximum number of endpoints to which one attempt of a caller may be sent.
+    /// The maximum number of endpoints that are tried for one request of a caller, not counting a few that
+    /// fail or reject it before they run it.
     pub max_attempts: u32,
     /// Whether requests are accepted without an API key.
     pub is_public: bool,
@@ -88,7 +89,7 @@
     pub group_size: usize,
     /// The model's expected share of the work.
     pub share: f64,
-    /// A factor by which the step times of the model's groups are multiplied.
+    /// A factor by which the step times of the model's groups are multiplied. Higher is slower.
     pub pace: f64,
     /// The time that an engine takes to load the model from the weight store.
     pub load_time: Duration,
@@ -161,8 +162,8 @@
     }
 
     /// Returns the number of requests that a group can process concurrently while each of them starts in
-    /// time. This is the number of slots, or less if reading the prompts of that many requests takes longer
-    /// than writing their answers. Without the token counts of a mean request, it is always the number of
+    /// time. This is the number of slots, or less if the prefill of that many requests takes longer than their
+    /// decoding. Without the token counts of a mean request, it is always the number of
     /// slots.
     #[must_use]
     pub fn usable_slots(&self, mean: Option<TokenCounts>) -> u32 {
@@ -249,8 +250,8 @@
 }
 
 impl Service {
-    /// Returns whether a fabric domain with `engines` engines has enough of them for a group of a model. A
-    /// model that isn't configured needs none.
+    /// Returns whether a fabric domain with `engines` engines has enough of them for a group of a model.
+    /// A model that isn't configured has no minimum, so the result is `true` for it.
     #[must_use]
     pub fn can_host(&self, model: &ModelId, engines: usize) -> bool {
         let models = self.engine.iter().flat_map(|engine| &engine.models);
--- a/crates/sesamecart-fleet/src/decay.rs
+++ b/crates/sesamecart-fleet/src/decay.rs
@@ -4,8 +4,8 @@
 
 use sesamecart_vocabulary::Timestamp;
 
-/// The minimum covered time of a rate, as a fraction of its time constant. Otherwise the first event alone
-/// would give an infinite rate.
+/// The lower bound of the time that a sum is divided by to get a rate, as a fraction of the time constant.
+/// Without it, the first event alone would give an infinite rate.
 const MIN_COVERED_FRACTION: f64 = 0.2;
 
 /// A sum that decays exponentially, to about a third within its time constant.
--- a/crates/sesamecart-fleet/src/first_event/tests.rs
+++ b/crates/sesamecart-fleet/src/first_event/tests.rs
@@ -43,6 +43,7 @@
     for _ in 0..10 {
         timeouts.expire(&model());
     }
+    // The number of doublings is limited to three.
     assert_eq!(timeouts.timeout(&model()), before * 8);
     timeouts.observe(&model(), Duration::from_millis(900));
     assert!(timeouts.timeout(&model()) < before * 2);
--- a/crates/sesamecart-fleet/src/planner.rs
+++ b/crates/sesamecart-fleet/src/planner.rs
@@ -88,7 +88,7 @@
         /// The model.
         model: ModelId,
     },
-    /// Ask the members of a group whether the group is sound.
+    /// Ask the members of a group whether they are still in it.
     Examine(GroupKey),
     /// Dissolve a group whose formation nobody is driving. Its head isn't open.
     Dissolve(GroupKey),
@@ -146,7 +146,8 @@
     recent_load_starts: VecDeque<Timestamp>,
     /// Engines that may not join a group, and until when.
     quarantined: IndexMap<EndpointId, Timestamp>,
-    /// When each group was last examined, closed or dissolved. A time in the future delays the next attempt.
+    /// When each group was last examined, closed or dissolved. A time in the future delays the next of these
+    /// steps.
     examined: IndexMap<GroupKey, Timestamp>,
     /// Groups that were dissolved. The registry entries of their members may still name them.
     dissolved: IndexSet<GroupKey>,
@@ -205,9 +206,9 @@
     /// group.
     ///
     /// When a failure domain is partitioned, none of its engines can be reached, but its groups keep serving
-    /// callers on their side of the partition. Members that still report the group aren't free, however long
-    /// they have been silent: if they joined other groups, they would be in two groups at once when the
-    /// partition heals.
+    /// callers on their side of the partition. An unreachable member whose registry entry still names the
+    /// group isn't free, however long it has been unreachable: if it joined another group, it would be in two
+    /// groups at once when the partition heals.
     pub fn defer_examination(&mut self, key: &GroupKey, now: Timestamp) {
         self.examined
             .insert(key.clone(), now + UNREACHABLE_HEAD_COOLDOWN);
--- a/crates/sesamecart-fleet/src/planner/assignment.rs
+++ b/crates/sesamecart-fleet/src/planner/assignment.rs
@@ -45,8 +45,9 @@
 /// Swaps the models of pairs of domains for as long as that leaves more capacity after a loss.
 ///
 /// First, a model that the loss of one failure domain would remove entirely gets another domain, provided
-/// that this removes no other model. Callers who can't reach a model at all don't benefit from the number of
-/// its domains.
+/// that this removes no other model. This step precedes the swaps because a model that stays reachable after
+/// a loss matters more than capacity. If the loss of a domain would still remove a model after the swaps,
+/// the step is repeated, all assignments are tried if there are few, and the swaps are repeated.
 pub(super) fn spread_models<'a>(spec: &'a EngineSpec, placements: &mut [Placement<'a>]) {
     rescue_models(spec, placements);
     swap_models(spec, placements);
--- a/crates/sesamecart-fleet/src/planner/loading.rs
+++ b/crates/sesamecart-fleet/src/planner/loading.rs
@@ -12,7 +12,9 @@
 use crate::endpoint::Endpoint;
 
 /// The fraction of the loads allowed by the operator in [`LOAD_RATE_WINDOW`] that one controller may start.
-/// It is less than half because a controller that takes over counts from zero.
+///
+/// Two controllers may start loads in one window, since one that takes over counts from zero. Together they
+/// stay 10 % below the operator's limit.
 const LOAD_START_FRACTION: f64 = 0.45;
 
 /// The window over which the rate of load starts is limited.
@@ -22,7 +24,7 @@
 /// other down.
 const LOAD_TIMEOUT_FACTOR: u32 = 3;
 
-/// Loads before the first request are faster by this factor.
+/// The factor by which the platform runs loads faster before the first request than after it.
 const EARLY_LOAD_SPEEDUP: u32 = 10;
 
 /// A load that would make an engine useful.
@@ -110,9 +112,9 @@
     ) {
         let waits_for_groups = !input.has_traffic && !self.is_load_limit_lifted(input);
         if waits_for_groups && (self.is_forming() || !self.domain_sizes.is_stable(now)) {
-            // Leftover engines are loaded after whole groups, or when no group can be formed. If they weren't
-            // loaded at all, the first requests would find them empty, and loads take ten times longer from
-            // then on.
+            // Groups come first: leftover engines wait while a group is being formed or the sizes of the
+            // domains still change. They are loaded afterwards, before the first request if possible: it
+            // would otherwise find them empty, and loads take ten times longer from then on.
             return;
         }
         let mut wanted: Vec<WantedLoad<'_>> = Vec::new();
--- a/crates/sesamecart-fleet/src/planner/tests/loading.rs
+++ b/crates/sesamecart-fleet/src/planner/tests/loading.rs
@@ -44,7 +44,11 @@
 }
 
 /// Returns the engines that are asked to load a model.
-fn staged(planner: &mut Planner, spec: &EngineSpec, engines: &[Endpoint]) -> Vec<String> {
+fn engines_asked_to_load(
+    planner: &mut Planner,
+    spec: &EngineSpec,
+    engines: &[Endpoint],
+) -> Vec<String> {
     let directory = directory(engines.iter().cloned());
     let input = PlannerInput {
         service: &service(),
@@ -54,16 +58,16 @@
         demand: None,
     };
     let steps = planner.plan(START, &input);
-    let staged = steps.into_iter().filter_map(|step| match step {
+    let loading = steps.into_iter().filter_map(|step| match step {
         Step::Stage { endpoint, .. } => Some(endpoint.to_string()),
         _ => None,
     });
-    staged.collect()
+    loading.collect()
 }
 
 /// A group lacks one engine and gets a spare of another model. If the spare were counted by the model that
-/// its host still holds, it would seem to be missing in each planning pass, and all other spares would be
-/// loaded after it.
+/// its host still holds, the group would seem to lack an engine in each planning pass, and every other spare
+/// would be loaded as well.
 #[test]
 fn one_spare_is_loaded_for_one_missing_engine() {
     let free = [
@@ -77,8 +81,11 @@
     let spec = spec_of((6, 3));
     let engines = engines((6, 3), &free);
     let mut planner = Planner::new(FencingToken(1), 0);
-    assert_eq!(staged(&mut planner, &spec, &engines), ["free.0"]);
-    assert!(staged(&mut planner, &spec, &engines).is_empty());
+    assert_eq!(
+        engines_asked_to_load(&mut planner, &spec, &engines),
+        ["free.0"]
+    );
+    assert!(engines_asked_to_load(&mut planner, &spec, &engines).is_empty());
 }
 
 /// A group lacks two engines, and one of the two spares is still loading. If the other one were loaded alone,
@@ -103,5 +110,5 @@
     };
     let mut planner = Planner::new(FencingToken(1), 0);
     planner.record_load(START, &input, &id("free.2"), &spec.models[1]);
-    assert!(staged(&mut planner, &spec, &engines).is_empty());
+    assert!(engines_asked_to_load(&mut planner, &spec, &engines).is_empty());
 }
--- a/crates/sesamecart-groups/src/controller/group.rs
+++ b/crates/sesamecart-groups/src/controller/group.rs
@@ -41,6 +41,7 @@
     pub(super) version: String,
     /// The bytes still to load, once the store has reported them.
     pub(super) remaining: Option<Bytes>,
+    /// The granted rate per second.
     pub(super) granted: Bytes,
 }
 
@@ -222,8 +223,8 @@
         })
     }
 
-    /// Removes a load and stops it if it has been granted a rate. A load that is no longer tracked would use
-    /// bandwidth that has been granted to other loads.
+    /// Removes a load and stops it if it has been granted a rate. Otherwise it would go on using bandwidth
+    /// that is granted to other loads.
     pub(super) fn drop_load(
         &mut self,
         group: &GroupId,
--- a/crates/sesamecart-groups/src/controller/ordering.rs
+++ b/crates/sesamecart-groups/src/controller/ordering.rs
@@ -63,8 +63,8 @@
         })
     }
 
-    /// Returns an order to load the next adapter that this incarnation of a serving engine wasn't ordered
-    /// yet.
+    /// Returns an order to load the next adapter that this incarnation of a serving engine hasn't been
+    /// ordered to load yet.
     fn adapter_order(&mut self, group: &GroupId, now: Timestamp) -> Option<FencedOrder> {
         let plan = self.fleet.groups.get(group)?;
         let wanted_adapters = &self.fleet.models.get(&plan.model)?.adapters;
--- a/crates/sesamecart-membership/src/settings.rs
+++ b/crates/sesamecart-membership/src/settings.rs
@@ -16,15 +16,16 @@
     pub piggyback: usize,
     /// How long to wait for the reply to a probe. A later reply of a slow node still refutes the suspicion.
     pub probe_timeout: Duration,
-    /// How long a suspicion may be refuted with up to eight nodes. It grows with the logarithm of the number
-    /// of nodes.
+    /// The time to refute a suspicion in a cluster of up to eight nodes. It grows with the logarithm of the
+    /// number of nodes.
     pub min_suspicion_timeout: Duration,
     /// The extension of the suspicion timeout for each doubling of the number of nodes above eight, since
     /// updates need another round to reach all nodes.
     pub suspicion_per_doubling: Duration,
     /// How long a node that was down must stay healthy before it counts as live again.
     pub return_hold: Duration,
-    /// How far the platform's VM list may lag.
+    /// How long a node that is down must be missing from the platform's VM list before it counts as gone,
+    /// since the list may lag.
     pub list_lag: Duration,
     /// How long a node that is down is remembered.
     pub forget_after: Duration,
--- a/crates/sesamecart-membership/src/tests/cluster.rs
+++ b/crates/sesamecart-membership/src/tests/cluster.rs
@@ -158,10 +158,10 @@
         }
     }
 
-    /// Returns the standing of the node `of` in the view of the node `by`.
-    pub(super) fn standing(&self, of: usize, by: usize) -> Option<Liveness> {
-        let id = node_id(of);
-        let mut members = self.nodes[by].members(self.now);
+    /// Returns the standing of the node `subject` in the view of the node `observer`.
+    pub(super) fn standing(&self, subject: usize, observer: usize) -> Option<Liveness> {
+        let id = node_id(subject);
+        let mut members = self.nodes[observer].members(self.now);
         members
             .find(|(member, _)| member.node == id)
             .map(|(_, standing)| standing)
--- a/crates/sesamecart-runtime/src/logs.rs
+++ b/crates/sesamecart-runtime/src/logs.rs
@@ -57,8 +57,8 @@
     rates: Mutex<HashMap<CallSite, LineRate>>,
 }
 
-#[derive(Eq, Hash, PartialEq)]
 /// The source location of a log statement.
+#[derive(Eq, Hash, PartialEq)]
 struct CallSite {
     file: &'static str,
     line: u32,
--- a/crates/sesamecart-vocabulary/src/id.rs
+++ b/crates/sesamecart-vocabulary/src/id.rs
@@ -5,22 +5,22 @@
 use derive_more::{AsRef, Display};
 use serde::{Deserialize, Serialize};
 
-/// The maximum length of a name in bytes.
+/// The maximum length of an ID in bytes.
 ///
-/// Names are part of headers, metric labels and heartbeats. Without a limit, a single line of configuration
+/// IDs are part of headers, metric labels and heartbeats. Without a limit, a single line of configuration
 /// could enlarge every message.
 const MAX_ID_BYTES: usize = 128;
 
-/// The error of parsing a name.
+/// The error of parsing an ID.
 #[derive(Clone, Debug, Display, Eq, PartialEq, derive_more::Error)]
 pub enum ParseIdError {
-    /// The name is empty.
+    /// The ID is empty.
     #[display("a name must not be empty")]
     Empty,
-    /// The name is longer than 128 bytes.
+    /// The ID is longer than `MAX_ID_BYTES`.
     #[display("a name must have at most {MAX_ID_BYTES} bytes")]
     TooLong,
-    /// The name contains a character that would need quoting in a header or a metric label.
+    /// The ID contains a character that would need quoting in a header or a metric label.
     #[display("a name may hold only letters, digits and . _ : / -, not {_0:?}")]
     Character(#[error(not(source))] char),
 }
@@ -88,11 +88,11 @@
     NodeId
 );
 name_id!(
-    /// A VM of the platform, named as in the planners' sheet.
+    /// A VM of the platform, named as in the platform's VM list.
     VmId
 );
 name_id!(
-    /// A back end that serves requests: the head of a serving group or a plain service process.
+    /// A back end: an engine or a plain service process.
     EndpointId
 );
 name_id!(
